--- a/packages/teaseldock/teaseldock/packets/alerts.py
+++ b/packages/teaseldock/teaseldock/packets/alerts.py
@@ -16,9 +16,9 @@
 
 #: Alerts kept for processes that lag: a release of 300 servers, each of which
 #: leaves and is gone. Whoever lags further needs all entries anyway.
-KEPT = 600
+ALERTS_KEPT = 600
 #: Alerts in one answer: they fit into one datagram with names of 20 bytes.
-AT_ONCE = 25
+ALERTS_PER_ANSWER = 25
 
 
 class AlertLog:
@@ -41,12 +41,12 @@
         """Return the revision after which no alert is missing."""
         return self._since or 0
 
-    def begin(self, revision: int) -> None:
+    def start_at(self, revision: int) -> None:
         """Note that all alerts after a revision will be here."""
         if self._since is None:
             self._since = revision
 
-    def miss(self, upto: int) -> None:
+    def mark_incomplete(self, upto: int) -> None:
         """Note that alerts up to a revision may be missing.
 
         Whoever lacks them would take those that are here for all, and bring
@@ -54,7 +54,7 @@
         """
         self._since = max(self.since, upto)
 
-    def restart(self, revision: int) -> None:
+    def drop_other_eras(self, revision: int) -> None:
         """Forget all of other eras than that of a revision.
 
         The store's history before is not the one that goes on.
@@ -69,9 +69,9 @@
         self._newest = 0
         self._since = revision
         for item in items:
-            self.note(item)
+            self.add(item)
 
-    def note(self, alert: records.Alert) -> bool:
+    def add(self, alert: records.Alert) -> bool:
         """Keep an alert; tell whether it was not here yet."""
         key = alert.kind, alert.subject
         if self._latest.get(key, 0) >= alert.revision:
@@ -79,7 +79,7 @@
         self._latest[key] = alert.revision
         self._newest = max(self._newest, alert.revision)
         self._items.append(alert)
-        if len(self._items) > KEPT:
+        if len(self._items) > ALERTS_KEPT:
             self._forget_oldest()
         return True
 
@@ -110,13 +110,13 @@
             (item for item in self._items if item.revision > revision),
             key=lambda item: item.revision,
         )
-        if len(items) > AT_ONCE:
-            items = items[:AT_ONCE]
+        if len(items) > ALERTS_PER_ANSWER:
+            items = items[:ALERTS_PER_ANSWER]
             upto = min(upto, items[-1].revision)
         return records.Alerts(revision, upto, items, self._since)
 
 
-def of_removal(removal: records.Removal) -> records.Alert:
+def alert_for_removal(removal: records.Removal) -> records.Alert:
     """Return the alert of an entry that is gone."""
     kind = records.AlertKind.GONE
     if removal.overwritten:
@@ -124,7 +124,7 @@
     return records.Alert(kind, removal.identifier, removal.revision)
 
 
-def removal_of(alert: records.Alert) -> records.Removal | None:
+def removal_from_alert(alert: records.Alert) -> records.Removal | None:
     """Return the removal that an alert tells of, or None."""
     if alert.kind == records.AlertKind.GONE:
         return records.Removal(alert.subject, alert.revision)
@@ -133,13 +133,13 @@
     return None
 
 
-def of_dropped(address: bytes, revision: int) -> records.Alert:
+def alert_for_dropped_route(address: bytes, revision: int) -> records.Alert:
     """Return the alert of a route that is dropped."""
     kind = records.AlertKind.ROUTE_DROPPED
     return records.Alert(kind, address.hex(), revision)
 
 
-def address_of(alert: records.Alert) -> bytes:
+def dropped_route_address(alert: records.Alert) -> bytes:
     """Return the packed address of a route that is dropped.
 
     :raises ValueError: if the subject is none.
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -108,7 +108,7 @@
         """
         vanished = {
             item.target.run: item.target.host
-            for item in self._knowledge.vanished(now)
+            for item in self._knowledge.recently_removed(now)
         }
         for run in vanished.keys() - self._vanished:
             self._ask(vanished[run], now)
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -169,7 +169,7 @@
     def _lapsed(self, service: str, now: float) -> list[records.Target]:
         if not self._store.recent_outage(now):
             return []
-        return self._knowledge.lapsed_of(service, now)
+        return self._knowledge.recently_expired(service, now)
 
     def _placeable(self, service: str, now: float) -> list[records.Target]:
         targets = self._knowledge.placeable(service)
@@ -270,13 +270,13 @@
         outage = self._store.recent_outage(now)
         hosts += [
             item.target.host
-            for item in self._knowledge.vanished(now)
+            for item in self._knowledge.recently_removed(now)
             if outage or now - item.at < GONE_AFTER_S
         ]
         hosts += [
             peer.host
             for peer in self._mesh.agents()
-            if not self._knowledge.is_registered(peer.host)
+            if not self._knowledge.has_target_on(peer.host)
             and peer.heard_within(mesh.TRUSTED_S, now)
             and not peer.leaving(now)
         ]
--- a/packages/teaseldock/teaseldock/packets/departures.py
+++ b/packages/teaseldock/teaseldock/packets/departures.py
@@ -24,13 +24,13 @@
         self._alerted: dict[str, int] = {}
         # Runs that were known to leave before the store came back from an
         # older copy, by the position up to which the copy may not know it.
-        self._remembered: dict[tuple[str, int], int] = {}
+        self._retained: dict[tuple[str, int], int] = {}
 
     def note_alert(self, identifier: str, position: int) -> None:
         """Note an alert that a server leaves."""
         self._alerted[identifier] = position
 
-    def remember(
+    def retain(
         self, runs: typing.Iterable[tuple[str, int]], upto: int
     ) -> None:
         """Keep which runs leave, though a copy of the store may not say so.
@@ -40,20 +40,20 @@
         :param upto: position that the first read of the copy covers; entries
             written later count as they are.
         """
-        self._remembered = dict.fromkeys(runs, upto)
+        self._retained = dict.fromkeys(runs, upto)
 
     def is_alerted(self, target: records.Target) -> bool:
         """Tell whether an alert newer than an entry says that it leaves."""
         return self._alerted.get(target.identifier, 0) > target.revision
 
-    def applied(self, target: records.Target) -> records.Target:
+    def effective_entry(self, target: records.Target) -> records.Target:
         """Return an entry as it is to be used."""
-        remembered = self._remembered.get(target.run, 0)
-        if self.is_alerted(target) or remembered >= target.revision:
+        retained_upto = self._retained.get(target.run, 0)
+        if self.is_alerted(target) or retained_upto >= target.revision:
             return target._replace(draining=True)
         return target
 
-    def forget(self, upto: int) -> bool:
+    def drop_covered_alerts(self, upto: int) -> bool:
         """Drop alerts that entries tell by now; tell whether there were any.
 
         :param upto: position up to which all entries are known.
@@ -67,8 +67,8 @@
         self._alerted = later
         return changed
 
-    def keep_only(self, runs: typing.Container[tuple[str, int]]) -> None:
-        """Forget what is remembered of all but some runs."""
-        self._remembered = {
-            run: upto for run, upto in self._remembered.items() if run in runs
+    def retain_only(self, runs: typing.Container[tuple[str, int]]) -> None:
+        """Forget what is retained of all but some runs."""
+        self._retained = {
+            run: upto for run, upto in self._retained.items() if run in runs
         }
--- a/packages/teaseldock/teaseldock/packets/evacuations.py
+++ b/packages/teaseldock/teaseldock/packets/evacuations.py
@@ -20,33 +20,35 @@
         self._active: frozenset[str] = frozenset()
         # Those that stood before the store came back from an older copy, and
         # until when they stand without being requested anew.
-        self._held: dict[str, float] = {}
-        self._held_upto = 0
+        self._retained: dict[str, float] = {}
+        self._retained_upto = 0
 
     @property
     def active(self) -> frozenset[str]:
         """Return the data centres that get no new flows."""
-        return self._active.union(self._held)
+        return self._active.union(self._retained)
 
-    def hold(self, until: float, upto: int) -> None:
+    def retain_active(self, until: float, upto: int) -> None:
         """Let all that stand now stand for a while, whatever a copy says.
 
         The store came back from an older copy, which may lack the request.
         Flows would return to a data centre that is being emptied, until the
         operator has written it again.
 
-        :param until: seconds on the clock of :meth:`release`.
+        :param until: seconds on the clock of :meth:`expire_retained`.
         :param upto: position up to which the copy was read; ends until then
             only say that it lacks a request.
         """
-        self._held_upto = upto
-        self._held = dict.fromkeys(self.active, until)
+        self._retained_upto = upto
+        self._retained = dict.fromkeys(self.active, until)
 
-    def release(self, now: float) -> bool:
+    def expire_retained(self, now: float) -> bool:
         """End those that are held no longer; tell whether any ended."""
-        ended = [name for name, until in self._held.items() if now >= until]
+        ended = [
+            name for name, until in self._retained.items() if now >= until
+        ]
         for name in ended:
-            del self._held[name]
+            del self._retained[name]
         return any(name not in self._active for name in ended)
 
     def apply(
@@ -55,8 +57,8 @@
         """Take over what is newer than what is known; return that."""
         fresh = [item for item in items if self._is_newer(item)]
         for item in fresh:
-            if item.active or item.revision > self._held_upto:
-                self._held.pop(item.data_centre, None)
+            if item.active or item.revision > self._retained_upto:
+                self._retained.pop(item.data_centre, None)
         self._keep(fresh)
         return fresh
 
--- a/packages/teaseldock/teaseldock/packets/freshness.py
+++ b/packages/teaseldock/teaseldock/packets/freshness.py
@@ -16,7 +16,7 @@
 #: 1.5 s and the way of its answer some rounds of heartbeats: proof is up to
 #: 2.4 s old among 40 processes that are well, and 3.2 s among 195 (played in
 #: virtual time).
-OLD_S = 4.0
+STALE_S = 4.0
 #: Newest marks of what is known for which others' proof is kept.
 CLAIMS_KEPT = 16
 
@@ -38,7 +38,7 @@
         # reached here yet.
         self._claims: dict[int, float] = {}
         self._started = now
-        self._old = False
+        self._stale = False
 
     def age_s(self, now: float) -> float:
         """Return the greatest age of something that isn't known here."""
@@ -51,11 +51,11 @@
             return -1
         return round(1000 * self.age_s(now))
 
-    def answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Note an answer of the store that was taken over."""
-        self._know(now)
+        self._extend_proof(now)
 
-    def hear(
+    def merge_claim(
         self, mark: int, age_ms: int, now: float, *, known: int
     ) -> float | None:
         """Take over how far another process knows all.
@@ -68,9 +68,9 @@
         """
         if age_ms < 0:
             return None
-        at = now - age_ms / 1000 - store_state.PASSED_ON_S
+        at = now - age_ms / 1000 - store_state.RELAY_AGE_S
         if mark <= known:
-            self._know(at)
+            self._extend_proof(at)
             return at
         claimed = self._claims.get(mark)
         if claimed is None and len(self._claims) == CLAIMS_KEPT:
@@ -78,7 +78,7 @@
         self._claims[mark] = max(at, claimed or at)
         return None
 
-    def caught_up(self, known: int) -> None:
+    def adopt_claims(self, known: int) -> None:
         """Take over what others had proof of, now that it is known here.
 
         Until their next word, a process that has just been told would take
@@ -88,16 +88,16 @@
         :param known: mark of what is known here.
         """
         for mark in [item for item in self._claims if item <= known]:
-            self._know(self._claims.pop(mark))
+            self._extend_proof(self._claims.pop(mark))
 
-    def _know(self, at: float) -> None:
+    def _extend_proof(self, at: float) -> None:
         if self._known_at is None or at > self._known_at:
             self._known_at = at
 
-    def turned(self, now: float) -> bool | None:
+    def staleness_change(self, now: float) -> bool | None:
         """Tell once that it got old (True) or current again (False)."""
-        old = self.age_s(now) > OLD_S
-        if old == self._old:
+        old = self.age_s(now) > STALE_S
+        if old == self._stale:
             return None
-        self._old = old
+        self._stale = old
         return old
--- a/packages/teaseldock/teaseldock/packets/knowledge.py
+++ b/packages/teaseldock/teaseldock/packets/knowledge.py
@@ -17,16 +17,16 @@
 from teaseldock.packets import records
 from teaseldock.packets import registry
 from teaseldock.packets import removals
+from teaseldock.packets import removed_targets
 from teaseldock.packets import route_table
-from teaseldock.packets import vanishing
 
 #: Routes dropped at once that alerts are sent for: all that an operator drops
 #: by hand. More of them come as fast with the other changes, as one list.
-ROUTES_ALERTED = 50
+MAX_ROUTE_ALERTS = 50
 #: Seconds within which the operator and the servers have written again what
 #: a store that came back from an older copy lacks: a heartbeat of a server
 #: and the way of its entry.
-REWRITTEN_S = 4.0
+EVACUATION_HOLD_S = 4.0
 
 
 class Knowledge:
@@ -44,10 +44,10 @@
         self._alerts_upto = 0
         # Revision that the newest alert may have, if it is none that is known:
         # a whole read tells of no entry that is gone.
-        self._alerts_floor = 0
-        self._wants_all = False
+        self._newest_alert_limit = 0
+        self._needs_full_sync = False
         self._removals = removals.RemovalLog()
-        self._vanished = vanishing.VanishedTargets()
+        self._removed = removed_targets.RemovedTargets()
         self._table = route_table.RouteTable()
         self._revision = 0
         self._content_revision = 0
@@ -96,16 +96,16 @@
         that is known here, it would make others believe that they lack
         nothing, and keep a server that is gone.
         """
-        newest = max(self._alerts.newest, self._alerts_floor)
+        newest = max(self._alerts.newest, self._newest_alert_limit)
         return min(newest, self._alerts_upto)
 
-    def settle_alerts(self, newest: int) -> None:
+    def lower_newest_alert(self, newest: int) -> None:
         """Take over from another process which alert is the newest.
 
         :param newest: of all that were published before the last whole read
             here was over.
         """
-        self._alerts_floor = min(self._alerts_floor, newest)
+        self._newest_alert_limit = min(self._newest_alert_limit, newest)
 
     @property
     def alerts_upto(self) -> int:
@@ -143,7 +143,7 @@
         return self._registry.targets
 
     @property
-    def unnamed(self) -> set[str]:
+    def entries_of_unknown_services(self) -> set[str]:
         """Return entries whose service the configuration doesn't name."""
         return self._entries.keys() - self.targets.keys()
 
@@ -174,15 +174,19 @@
             return []
         return [choice.service for choice in route.choices]
 
-    def is_registered(self, host: str) -> bool:
+    def has_target_on(self, host: str) -> bool:
         """Tell whether any target is registered on an instance."""
         return host in self._registry.hosts
 
-    def vanished(self, now: float) -> list[vanishing.Vanished]:
+    def recently_removed(
+        self, now: float
+    ) -> list[removed_targets.RemovedTarget]:
         """Return the targets that vanished a short while ago."""
-        return self._vanished.recent(now)
+        return self._removed.recent(now)
 
-    def lapsed_of(self, service: str, now: float) -> list[records.Target]:
+    def recently_expired(
+        self, service: str, now: float
+    ) -> list[records.Target]:
         """Return targets whose entries expired a moment ago.
 
         Entries expire while the store is away, and servers write them again
@@ -194,9 +198,9 @@
         """
         return [
             target
-            for target in self._vanished.lapsed(now)
+            for target in self._removed.recently_expired(now)
             if target.service == service
-            and self._registry.may_get_flows(target)
+            and self._registry.accepts_new_flows(target)
             and target.host not in self._registry.hosts
         ]
 
@@ -213,45 +217,45 @@
             return False
         if changes.configuration_change and not self.usable:
             return False
-        if self._misfits(changes.configuration_change):
+        if self._digest_differs(changes.configuration_change):
             # The sender has jumped over a version that is in force here, and
             # can't tell what of it is gone; a dropped route would work on.
-            self._wants_all = True
+            self._needs_full_sync = True
             return False
         if not changes.since:
-            self._wants_all = False
+            self._needs_full_sync = False
         complete = changes.since == 0 and changes.upto >= self._revision
         rewound = complete and self._begin_era(changes, now)
         fresh = self._apply_configuration(changes) or rewound
         for item in changes.in_order():
             if isinstance(item, records.Removal):
                 fresh = self._remove(item, now) or fresh
-            elif not (changes.is_history and self._is_no_news(item)):
+            elif not (changes.has_all_events and self._is_redundant(item)):
                 fresh = self._put(item, now, complete=complete) or fresh
-        fresh = self._evacuate(changes, complete=complete) or fresh
+        fresh = self._apply_evacuations(changes, complete=complete) or fresh
         if complete:
             fresh = self._drop_unlisted(changes, now) or fresh
         if rewound and not positions.same_era(
             self._content_revision, changes.upto
         ):
             # Nothing in the copy has a position of its own; others must ask.
-            self._note_revision(changes.upto)
+            self._raise_content_revision(changes.upto)
         if complete:
-            self._removals.begin(changes.upto)
+            self._removals.mark_incomplete(changes.upto)
             if changes.upto > self._alerts_upto:
-                self._alerts_floor = changes.upto
+                self._newest_alert_limit = changes.upto
         # A read of all tells of nothing that came and went before it.
         alerts_since = changes.upto if complete else changes.alerts_since
         if alerts_since > self._alerts_upto:
-            self._alerts.miss(alerts_since)
+            self._alerts.mark_incomplete(alerts_since)
         self._revision = max(self._revision, changes.upto)
-        fresh = self._departures.forget(self._revision) or fresh
-        self._alerts.begin(self._revision)
+        fresh = self._departures.drop_covered_alerts(self._revision) or fresh
+        self._alerts.start_at(self._revision)
         self._alerts_upto = max(self._alerts_upto, self._revision)
         if changes.newest <= self._revision:
             # Otherwise who never knew an entry that is gone would ask for its
             # removal again and again.
-            self._note_revision(changes.newest)
+            self._raise_content_revision(changes.newest)
         if fresh:
             self._rebuild(now)
         return fresh
@@ -266,26 +270,28 @@
         known = self._revision
         if not known or positions.same_era(known, changes.upto):
             return False
-        used = map(self._departures.applied, self._entries.values())
-        gone = (item.target for item in self.vanished(now))
+        used = map(self._departures.effective_entry, self._entries.values())
+        gone = (item.target for item in self.recently_removed(now))
         leaving = [item.run for item in (*used, *gone) if item.draining]
-        self._departures.remember(leaving, changes.upto)
-        self._evacuations.hold(now + REWRITTEN_S, changes.upto)
-        self._alerts.restart(changes.upto)
-        self._removals.restart()
+        self._departures.retain(leaving, changes.upto)
+        self._evacuations.retain_active(now + EVACUATION_HOLD_S, changes.upto)
+        self._alerts.drop_other_eras(changes.upto)
+        self._removals.clear()
         return True
 
-    def release_evacuations(self, now: float) -> bool:
+    def expire_evacuations(self, now: float) -> bool:
         """End evacuations that were not requested anew in time.
 
         :returns: whether any ended.
         """
-        if not self._evacuations.release(now):
+        if not self._evacuations.expire_retained(now):
             return False
         self._rebuild(now)
         return True
 
-    def _misfits(self, change: records.ConfigurationChange | None) -> bool:
+    def _digest_differs(
+        self, change: records.ConfigurationChange | None
+    ) -> bool:
         if change is None or change.version <= self.version:
             return False
         return self._table.digest_with(change) != change.digest
@@ -293,7 +299,7 @@
     @property
     def wanted_since(self) -> int:
         """Return the revision after which to ask for changes; 0 for all."""
-        return 0 if self._wants_all else self.content_revision
+        return 0 if self._needs_full_sync else self.content_revision
 
     def _apply_configuration(self, changes: records.Changes) -> bool:
         newest = changes.configuration or changes.configuration_change
@@ -302,25 +308,29 @@
         if changes.configuration is not None:
             fresh = self._table.replace(changes.configuration)
         else:
-            fresh = self._table.change(changes.configuration_change)
-        if fresh and len(self._table.just_dropped) <= ROUTES_ALERTED:
-            for address in self._table.just_dropped:
-                self._alerts.note(
-                    alert_logs.of_dropped(address, newest.revision)
+            fresh = self._table.apply_change(changes.configuration_change)
+        if fresh and len(self._table.last_dropped) <= MAX_ROUTE_ALERTS:
+            for address in self._table.last_dropped:
+                self._alerts.add(
+                    alert_logs.alert_for_dropped_route(
+                        address, newest.revision
+                    )
                 )
         if fresh:
-            self._note_revision(newest.revision)
-            self._note_layout(newest.revision)
+            self._raise_content_revision(newest.revision)
+            self._raise_layout_revision(newest.revision)
         return fresh
 
-    def _evacuate(self, changes: records.Changes, *, complete: bool) -> bool:
+    def _apply_evacuations(
+        self, changes: records.Changes, *, complete: bool
+    ) -> bool:
         fresh = self._evacuations.apply(changes.evacuations)
         if complete:
             fresh += self._evacuations.end_unlisted(
                 changes.evacuations, changes.upto
             )
         for item in fresh:
-            self._note_revision(item.revision)
+            self._raise_content_revision(item.revision)
             if item.active:
                 self._note_alert(
                     records.AlertKind.EVACUATED,
@@ -332,7 +342,7 @@
     def _note_alert(
         self, kind: records.AlertKind, subject: str, revision: int
     ) -> None:
-        self._alerts.note(records.Alert(kind, subject, revision))
+        self._alerts.add(records.Alert(kind, subject, revision))
 
     def alerts_after(self, revision: int) -> records.Alerts | None:
         """Return the alerts that a process lacks, None if it needs all."""
@@ -348,19 +358,19 @@
         """
         if alerts.since > self._alerts_upto or not self._revision:
             return False
-        fresh = [item for item in alerts.items if self._take_alert(item, now)]
+        fresh = [item for item in alerts.items if self._apply_alert(item, now)]
         self._alerts_upto = max(self._alerts_upto, alerts.upto)
         if fresh:
             self._rebuild(now)
         return bool(fresh)
 
-    def _take_alert(self, alert: records.Alert, now: float) -> bool:
-        removal = alert_logs.removal_of(alert)
+    def _apply_alert(self, alert: records.Alert, now: float) -> bool:
+        removal = alert_logs.removal_from_alert(alert)
         if removal is not None:
             known = self._alerts.revision_of(alert.kind, alert.subject)
             self._remove(removal, now)
             return known < alert.revision
-        fresh = self._alerts.note(alert)
+        fresh = self._alerts.add(alert)
         if alert.revision > self._revision:
             if alert.kind == records.AlertKind.LEAVES:
                 self._departures.note_alert(alert.subject, alert.revision)
@@ -369,8 +379,8 @@
                     [records.Evacuation(alert.subject, alert.revision, True)]
                 )
             elif alert.kind == records.AlertKind.ROUTE_DROPPED:
-                address = alert_logs.address_of(alert)
-                self._table.withdraw(address, alert.revision)
+                address = alert_logs.dropped_route_address(alert)
+                self._table.disable_route(address, alert.revision)
         return fresh
 
     def _is_gone(self, target: records.Target) -> bool:
@@ -393,18 +403,18 @@
             # removed since, or has but become warmer, and whoever sent it had
             # not heard of that yet.
             return False
-        self._vanished.discard(target.run)
+        self._removed.discard(target.run)
         if known is not None and known.place != target.place:
             # The former run may hold flows where it was.
-            self._vanished.add(known, now, expired=False)
-        if not self.is_registered(target.host):
-            self._note_layout(target.revision)
+            self._removed.add(known, now, expired=False)
+        if not self.has_target_on(target.host):
+            self._raise_layout_revision(target.revision)
         if target.draining:
             self._note_alert(
                 records.AlertKind.LEAVES, target.identifier, target.revision
             )
         self._entries[target.identifier] = target
-        self._note_revision(target.revision)
+        self._raise_content_revision(target.revision)
         return True
 
     def _remove(self, removal: records.Removal, now: float) -> bool:
@@ -418,8 +428,8 @@
             return False
         del self._entries[removal.identifier]
         self._keep_removal(removal)
-        self._vanished.add(
-            self._departures.applied(known),
+        self._removed.add(
+            self._departures.effective_entry(known),
             now,
             expired=not removal.overwritten,
         )
@@ -427,12 +437,12 @@
 
     def _keep_removal(self, removal: records.Removal) -> None:
         """Keep a removal for processes that lag, unless it is kept."""
-        if not self._alerts.note(alert_logs.of_removal(removal)):
+        if not self._alerts.add(alert_logs.alert_for_removal(removal)):
             return
         self._removals.add(removal)
-        self._note_revision(removal.revision)
+        self._raise_content_revision(removal.revision)
 
-    def _is_no_news(self, later: records.Target) -> bool:
+    def _is_redundant(self, later: records.Target) -> bool:
         """Tell whether an entry need not be kept or told to others.
 
         Only for the next event of the store's history: an entry that others
@@ -442,12 +452,12 @@
         known = self._entries.get(later.identifier)
         if known is None or self._departures.is_alerted(known):
             return False
-        return known.only_warmer(later)
+        return known.differs_only_in_warmup(later)
 
-    def _note_revision(self, revision: int) -> None:
+    def _raise_content_revision(self, revision: int) -> None:
         self._content_revision = max(self._content_revision, revision)
 
-    def _note_layout(self, revision: int) -> None:
+    def _raise_layout_revision(self, revision: int) -> None:
         self._layout_revision = max(self._layout_revision, revision)
 
     def _drop_unlisted(self, changes: records.Changes, now: float) -> bool:
@@ -465,14 +475,14 @@
         configuration = self._table.configuration
         named = configuration and set(configuration.services)
         targets = [
-            self._departures.applied(target)
+            self._departures.effective_entry(target)
             for target in self._entries.values()
             if named is None or target.service in named
         ]
         self._registry = registry.Registry(targets, self.evacuated)
-        self._vanished.prune(now)
+        self._removed.prune(now)
         runs = {item.run for item in self._entries.values()}
-        self._departures.keep_only(runs | self._vanished.runs)
+        self._departures.retain_only(runs | self._removed.runs)
 
     def changes_since(self, revision: int) -> records.Changes:
         """Return what a peer at a revision lacks."""
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -9,16 +9,16 @@
 from teaseldock import exceptions
 from teaseldock.packets import control
 from teaseldock.packets import control_budget
-from teaseldock.packets import exchanging
 from teaseldock.packets import freshness
 from teaseldock.packets import holdings
 from teaseldock.packets import knowledge
 from teaseldock.packets import mesh
 from teaseldock.packets import positions
+from teaseldock.packets import read_schedule
 from teaseldock.packets import readers
-from teaseldock.packets import reading
 from teaseldock.packets import reporting
 from teaseldock.packets import store_state
+from teaseldock.packets import synchronization
 
 if typing.TYPE_CHECKING:
     from teaseldock.packets import outlet as outlets
@@ -82,7 +82,7 @@
         self._store = store_state.StoreState()
         self._alerts_proof = freshness.Freshness(now)
         self._version_proof = freshness.Freshness(now)
-        self._readers = readers.Readers(
+        self._readers = readers.ReaderElection(
             self._mesh,
             self._store,
             (self._alerts_proof, self._version_proof),
@@ -92,7 +92,7 @@
             in_force_s=in_force_s,
             now=now,
         )
-        self._exchange = exchanging.Exchange(
+        self._exchange = synchronization.Synchronizer(
             self._knowledge,
             self._mesh,
             self._budget,
@@ -102,8 +102,8 @@
             meters=self._meters,
             randomness=randomness,
         )
-        self._reading = reading.Reading(randomness)
-        self._reads_because: readers.Why | None = None
+        self._reading = read_schedule.ReadSchedule(randomness)
+        self._reads_because: readers.ReadReason | None = None
         self._called_at = now
         # Position that was known when the call under way began.
         self._called_knowing = 0
@@ -220,7 +220,7 @@
         self._last_tick = now
         everybody = self._concerns_everybody(now)
         self._tell(self._mesh.due(now, everybody=everybody), now)
-        if self._knowledge.release_evacuations(now):
+        if self._knowledge.expire_evacuations(now):
             self._on_knowledge(now)
         self._exchange.pull_alerts(now)
         self._exchange.pull(now)
@@ -230,7 +230,7 @@
         self._note_age(now)
 
     def _note_age(self, now: float) -> None:
-        old = self._alerts_proof.turned(now)
+        old = self._alerts_proof.staleness_change(now)
         if old is None:
             return
         self._reporter.note(
@@ -258,8 +258,8 @@
         """Tell whether this process should read the store."""
         return self._why_read(now) is not None
 
-    def _why_read(self, now: float) -> readers.Why | None:
-        return self._readers.why_read(now, leaving=self._leaving)
+    def _why_read(self, now: float) -> readers.ReadReason | None:
+        return self._readers.read_reason(now, leaving=self._leaving)
 
     def read_if_due(self, now: float) -> None:
         """Call the store if this process should and no call is under way."""
@@ -275,12 +275,14 @@
         self._meters.counters['store_calls'] += 1
         self._called_at = now
         self._called_knowing = self._knowledge.revision
-        if step is reading.Step.READ_ALL:
+        if step is read_schedule.Step.READ_ALL:
             self._outlet.read_all()
         else:
             self._outlet.watch(self._knowledge.revision)
 
-    def _note_reading(self, why: readers.Why | None, now: float) -> None:
+    def _note_reading(
+        self, why: readers.ReadReason | None, now: float
+    ) -> None:
         if why is self._reads_because:
             return
         self._reads_because = why
@@ -310,7 +312,7 @@
                 now,
             )
             return
-        if self._store.answered(now):
+        if self._store.record_answer(now):
             self._reporter.note('store regained', **self._flow_inputs)
         changed = self._take(changes, SOURCE_STORE, now)
         self._reading.succeeded(now, changed=changed)
@@ -325,15 +327,15 @@
     def store_failed(self, problem: str, now: float) -> None:
         """Note a call to the store without a usable answer."""
         self._meters.counters['store_failures'] += 1
-        first = self._store.failed(now)
+        first = self._store.record_failure(now)
         if first:
             self._reporter.note(
                 'store lost', problem=problem, **self._flow_inputs
             )
         # A single lost answer must not cost the whole time that a change has.
-        probes = first and not self._readers.store_away(now)
-        probes = probes or self._readers.probes(now, leaving=self._leaving)
-        self._reading.failed(now, probes=probes)
+        probes = first and not self._readers.store_unreachable(now)
+        probes = probes or self._readers.is_prober(now, leaving=self._leaving)
+        self._reading.failed(now, is_prober=probes)
 
     def entry_refused(self, problem: str) -> None:
         """Note an entry of the store that could not be read."""
@@ -354,8 +356,8 @@
             # while the others were on their way.
             whole = not changes.since
             at = self._called_at if whole else now
-            self._alerts_proof.answered(at)
-            self._version_proof.answered(at)
+            self._alerts_proof.record_answer(at)
+            self._version_proof.record_answer(at)
         self._catch_up()
         if not fresh:
             return False
@@ -398,8 +400,8 @@
 
     def _catch_up(self) -> None:
         """Take over the proof that others have of what is known here."""
-        self._alerts_proof.caught_up(self._knowledge.alerts_upto)
-        self._version_proof.caught_up(self._knowledge.version)
+        self._alerts_proof.adopt_claims(self._knowledge.alerts_upto)
+        self._version_proof.adopt_claims(self._knowledge.version)
 
     def _take_alerts(
         self, alerts: records.Alerts, source: str, now: float
@@ -437,7 +439,7 @@
         self._tell(told, now, purpose=notice)
 
     def _note_unnamed(self) -> None:
-        unnamed = self._knowledge.unnamed
+        unnamed = self._knowledge.entries_of_unknown_services
         for identifier in sorted(unnamed - self._unnamed):
             self.entry_refused(f'{identifier}: no such service is configured')
         self._unnamed = unnamed
@@ -504,9 +506,9 @@
             elif envelope.kind == control.KIND_CHANGES:
                 self._exchange.on_changes(envelope.body, host, now)
             elif envelope.kind == control.KIND_WANT:
-                self._exchange.on_want(envelope.body, host, now)
+                self._exchange.on_changes_request(envelope.body, host, now)
             elif envelope.kind == control.KIND_WANT_ALERTS:
-                self._exchange.on_want_alerts(envelope.body, host, now)
+                self._exchange.on_alerts_request(envelope.body, host, now)
             elif envelope.kind == control.KIND_ALERTS:
                 self._exchange.on_alerts(envelope.body, host, now)
             elif envelope.kind == control.KIND_REFER:
@@ -527,7 +529,7 @@
     ) -> None:
         new = self._mesh.is_new(host, heartbeat, now)
         peer = self._mesh.hear(host, heartbeat, now, asked=asked)
-        self._store.hear(heartbeat, now)
+        self._store.merge_heartbeat(heartbeat, now)
         self._hear_proof(heartbeat, now)
         if new:
             peer.named_at = 0.0
@@ -557,20 +559,20 @@
         """
         if self.distrusts(now):
             return
-        self._version_proof.hear(
+        self._version_proof.merge_claim(
             heartbeat.version,
             heartbeat.version_age_ms,
             now,
             known=self._knowledge.version,
         )
-        known_at = self._alerts_proof.hear(
+        known_at = self._alerts_proof.merge_claim(
             heartbeat.alerted,
             heartbeat.alerts_age_ms,
             now,
             known=self._knowledge.alerts_upto,
         )
         if known_at is not None and known_at >= self._whole_at:
-            self._knowledge.settle_alerts(heartbeat.alerted)
+            self._knowledge.lower_newest_alert(heartbeat.alerted)
 
     def _greets(self, peer: peers.Peer, now: float) -> bool:
         """Tell whether a process that is new hears of this one at once."""
--- a/packages/teaseldock/teaseldock/packets/pulling.py
+++ b/packages/teaseldock/teaseldock/packets/pulling.py
@@ -26,13 +26,13 @@
 ASK_AGAIN_S = 0.2
 #: Processes whose changes are taken: those asked last. Changes that nobody
 #: asked for are not.
-EXPECTED_FROM = 4
+SENDERS_KEPT = 4
 #: Processes remembered that were sent changes, so that others can be referred
 #: to them.
 SENT_KEPT = 8
 
 
-class Pulling:
+class PullState:
     """One question for changes at a time, and whom to refer others to."""
 
     def __init__(self, randomness: random.Random) -> None:
@@ -63,13 +63,13 @@
         # it would be out of bytes all the time.
         return self._random.choice(others)
 
-    def asked(self, host: str, now: float) -> None:
+    def record_request(self, host: str, now: float) -> None:
         """Note a question."""
         self._asked_host = host
         self._asked_at = now
         assembler = self._assemblers.pop(host, None) or control.Assembler()
         self._assemblers[host] = assembler
-        while len(self._assemblers) > EXPECTED_FROM:
+        while len(self._assemblers) > SENDERS_KEPT:
             del self._assemblers[next(iter(self._assemblers))]
 
     def expects(self, host: str) -> bool:
@@ -83,11 +83,11 @@
         """
         return self._assemblers[host].add(body)
 
-    def answered(self) -> None:
+    def allow_next_request(self) -> None:
         """Note an answer that taught something; the rest may be asked for."""
         self._asked_at = None
 
-    def sent(self, host: str, revision: int) -> None:
+    def record_sent(self, host: str, revision: int) -> None:
         """Note that a process was sent all changes up to a revision."""
         self._sent.append((host, revision))
 
--- a/packages/teaseldock/teaseldock/packets/reading.py
+++ b/packages/teaseldock/teaseldock/packets/read_schedule.py
@@ -16,7 +16,7 @@
 #: Mean seconds until the next try of a process that leaves it to others to
 #: notice that the store is back. It may be the only one that isn't turned
 #: away, so that it goes on trying.
-ASIDE_RETRY_S = 4.0
+NON_PROBER_RETRY_S = 4.0
 #: Seconds that one watch waits for changes.
 WATCH_S = 1.5
 
@@ -28,7 +28,7 @@
     WATCH = 'watch'
 
 
-class Reading:
+class ReadSchedule:
     """One call at a time, with pauses that depend on how the last ended."""
 
     def __init__(self, randomness: random.Random) -> None:
@@ -69,17 +69,17 @@
         self._read_all = True
         self._due_at = now
 
-    def failed(self, now: float, *, probes: bool = True) -> None:
+    def failed(self, now: float, *, is_prober: bool = True) -> None:
         """Note the end of a call without a usable answer.
 
         The pause is random and doubles: processes that lost the store at one
         moment would otherwise all come back at one moment, and again.
 
-        :param probes: whether this process is one of those that try again
+        :param is_prober: whether this process is one of those that try again
             soon. If all did, the calls to a store that is away would grow with
             the fleet, and keep it busy when it comes back.
         """
         self._calling = False
-        retry_s = self._retry_s if probes else ASIDE_RETRY_S
+        retry_s = self._retry_s if is_prober else NON_PROBER_RETRY_S
         self._due_at = now + retry_s * self._random.uniform(0.5, 1.5)
         self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
--- a/packages/teaseldock/teaseldock/packets/readers.py
+++ b/packages/teaseldock/teaseldock/packets/readers.py
@@ -48,7 +48,7 @@
 #: Age of own proof, seconds, beyond which a process reads the store itself. A
 #: pause after changes and a watch take 1.65 s and the answer's way up to 0.9;
 #: with the spread below and a read it keeps the 3 s that changes may take.
-PROOF_S = 2.6
+PROOF_MAX_AGE_S = 2.6
 #: Seconds over which processes whose proof is old are spread by rank: those
 #: that are being told at that moment don't read.
 PROOF_SPREAD_S = 0.15
@@ -60,10 +60,10 @@
 #: Seconds that reading the store for one's own proof takes at the most, of
 #: those above: the spread, a tick, a call to a store that is 60 times slower
 #: than usual, and a request's own way.
-READ_ROOM_S = 0.5
+READ_MARGIN_S = 0.5
 
 
-class Why(enum.Enum):
+class ReadReason(enum.Enum):
     """Why a process reads the store."""
 
     COLD_START = 'nobody has read yet'
@@ -72,7 +72,7 @@
     NOBODY_READS = 'nobody had an answer for long'
 
 
-class Readers:
+class ReaderElection:
     """Who reads, as one process sees it."""
 
     def __init__(
@@ -99,20 +99,20 @@
         self._proofs = proofs
         self._is_balancer = is_balancer
         self._slim = slim
-        self._latest_read_s = in_force_s - READ_ROOM_S
+        self._max_proof_age_s = in_force_s - READ_MARGIN_S
         self._own_rank = peers.reader_rank(host)
         self._started = now
         self._rank = 0
-        self._rank_of_all = 0
+        self._rank_with_failing = 0
         self._ranked_at: tuple[float, bool] | None = None
-        self._old_since: float | None = None
+        self._proof_old_since: float | None = None
 
     @property
     def rank(self) -> int:
         """Return how many processes came before this one, when reckoned."""
         return self._rank
 
-    def why_read(self, now: float, *, leaving: bool) -> Why | None:
+    def read_reason(self, now: float, *, leaving: bool) -> ReadReason | None:
         """Return why this process should read the store now, or None.
 
         The living balancers first in rank do, those on wide links before
@@ -123,33 +123,33 @@
 
         :param leaving: whether this process is about to stop.
         """
-        if self._starts_cold(now):
-            return Why.COLD_START
-        if self._lacks_proof(now):
-            return Why.OLD_PROOF
+        if self._needs_cold_start_read(now):
+            return ReadReason.COLD_START
+        if self._has_old_proof(now):
+            return ReadReason.OLD_PROOF
         age_s = now - (self._state.confirmed_at or self._started)
         if not self._is_balancer and age_s <= TAKEOVER_S:
             return None
         rank = self._rank_among(now, leaving=leaving)
         if self._is_balancer and rank < READERS:
             ready = now - self._started > START_WAIT_S
-            return Why.FIRST_IN_RANK if ready else None
-        wait_s = TAKEOVER_S + TAKEOVER_STEP_S * rank + self._relay_s()
+            return ReadReason.FIRST_IN_RANK if ready else None
+        wait_s = TAKEOVER_S + TAKEOVER_STEP_S * rank + self._relay_delay_s()
         if not self._is_balancer:
             wait_s += AGENT_SPREAD_S * self._own_rank[0] / 255
-        return Why.NOBODY_READS if age_s > wait_s else None
+        return ReadReason.NOBODY_READS if age_s > wait_s else None
 
     def proof_age_s(self, now: float) -> float:
         """Return the age of the oldest proof."""
         return max(proof.age_s(now) for proof in self._proofs)
 
-    def _relay_s(self) -> float:
+    def _relay_delay_s(self) -> float:
         """Return the seconds that a confirmation takes beyond one round."""
         if len(self._mesh.balancers()) <= mesh.FAN_OUT:
             return 0.0
         return RELAY_ROUNDS * mesh.ROUND_S
 
-    def _lacks_proof(self, now: float) -> bool:
+    def _has_old_proof(self, now: float) -> bool:
         """Tell whether what is known here is older than may be.
 
         That others had an answer of the store is no help to a process that
@@ -160,22 +160,22 @@
         decides, and the wait doesn't grow with the fleet. While the store
         answers nobody, taking over by rank is enough.
         """
-        usual_s = PROOF_S + self._relay_s()
-        limit_s = min(usual_s, self._latest_read_s)
+        usual_s = PROOF_MAX_AGE_S + self._relay_delay_s()
+        limit_s = min(usual_s, self._max_proof_age_s)
         old = self.proof_age_s(now) > limit_s
-        if not old or self.store_away(now):
-            self._old_since = None
+        if not old or self.store_unreachable(now):
+            self._proof_old_since = None
             return False
-        if self._old_since is None:
-            self._old_since = now
+        if self._proof_old_since is None:
+            self._proof_old_since = now
         wait_s = PROOF_SPREAD_S * self._own_rank[0] / 255
-        return now - self._old_since >= wait_s
+        return now - self._proof_old_since >= wait_s
 
-    def store_away(self, now: float) -> bool:
+    def store_unreachable(self, now: float) -> bool:
         """Tell whether the store has answered nobody for long."""
-        return self._state.away(now, TAKEOVER_S + self._relay_s())
+        return self._state.unreachable(now, TAKEOVER_S + self._relay_delay_s())
 
-    def _starts_cold(self, now: float) -> bool:
+    def _needs_cold_start_read(self, now: float) -> bool:
         """Tell whether an agent should read because nobody has read yet.
 
         After a loss of all power the balancers on slim links all read at one
@@ -189,10 +189,10 @@
         wait_s = START_WAIT_S + COLD_SPREAD_S * self._own_rank[0] / 255
         return now - self._started > wait_s
 
-    def probes(self, now: float, *, leaving: bool) -> bool:
+    def is_prober(self, now: float, *, leaving: bool) -> bool:
         """Tell whether this process goes on calling a store that is away."""
         self._rank_among(now, leaving=leaving)
-        return self._rank_of_all < PROBERS
+        return self._rank_with_failing < PROBERS
 
     def _rank_among(self, now: float, *, leaving: bool) -> int:
         """Return how many living balancers come before this process.
@@ -213,6 +213,6 @@
             and (False, peer.leaving(now), peer.heartbeat.slim, peer.rank)
             < own
         ]
-        self._rank_of_all = len(before)
+        self._rank_with_failing = len(before)
         self._rank = sum(not heard.store_failing for heard in before)
         return self._rank
--- a/packages/teaseldock/teaseldock/packets/records.py
+++ b/packages/teaseldock/teaseldock/packets/records.py
@@ -151,7 +151,7 @@
         """
         return self.identifier, self.born_ms
 
-    def only_warmer(self, later: Target) -> bool:
+    def differs_only_in_warmup(self, later: Target) -> bool:
         """Tell whether a later entry says only that the warm-up goes on.
 
         Servers that warm up write that each second or so; whoever knows when
@@ -277,7 +277,7 @@
     superseded_removals: tuple[Removal, ...] = ()
 
     @property
-    def is_history(self) -> bool:
+    def has_all_events(self) -> bool:
         """Tell whether these are all events that the store saw since then.
 
         Of what another process tells, or a read of all shows, it isn't known
--- a/packages/teaseldock/teaseldock/packets/registry.py
+++ b/packages/teaseldock/teaseldock/packets/registry.py
@@ -28,7 +28,7 @@
         for item in self._targets.values():
             self._hosts.add(item.host)
             self._services.setdefault(item.service, []).append(item)
-            if self.may_get_flows(item):
+            if self.accepts_new_flows(item):
                 self._placeable.setdefault(item.service, []).append(item)
 
     @property
@@ -49,7 +49,7 @@
         """Return the targets of a service that may get new flows."""
         return self._placeable.get(service, [])
 
-    def may_get_flows(self, target: records.Target) -> bool:
+    def accepts_new_flows(self, target: records.Target) -> bool:
         """Tell whether a target doesn't leave, nor its data centre is."""
         return (
             not target.draining and target.data_centre not in self._evacuated
--- a/packages/teaseldock/teaseldock/packets/removals.py
+++ b/packages/teaseldock/teaseldock/packets/removals.py
@@ -10,7 +10,7 @@
 
 #: Removals remembered for peers that lag; a peer that lags further gets all
 #: entries. Ten times the largest fleet of targets that one process serves.
-KEPT = 600
+REMOVALS_KEPT = 600
 
 
 class RemovalLog:
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         """Start with none."""
         self._items: collections.deque[records.Removal] = collections.deque(
-            maxlen=KEPT
+            maxlen=REMOVALS_KEPT
         )
         self._since = 0
 
@@ -28,17 +28,17 @@
         """Return the position after which no removal is missing."""
         return self._since
 
-    def begin(self, position: int) -> None:
+    def mark_incomplete(self, position: int) -> None:
         """Note that removals up to a position may be missing."""
         self._since = position
 
-    def restart(self) -> None:
+    def clear(self) -> None:
         """Forget all: they are of a history that doesn't go on."""
         self._items.clear()
 
     def add(self, removal: records.Removal) -> None:
         """Keep a removal, in place of the first that came if need be."""
-        if len(self._items) == KEPT:
+        if len(self._items) == REMOVALS_KEPT:
             # Alerts come out of order: the first is not always the oldest.
             self._since = max(self._since, self._items[0].revision)
         self._items.append(removal)
--- a/packages/teaseldock/teaseldock/packets/vanishing.py
+++ b/packages/teaseldock/teaseldock/packets/removed_targets.py
@@ -9,12 +9,12 @@
 
 #: Seconds for which an entry that vanished without a drain stays usable: the
 #: users' two seconds until a missing entry counts as gone.
-LAPSE_GRACE_S = 2.0
+EXPIRED_USABLE_S = 2.0
 #: Seconds for which a vanished target may still hold flows.
-KEPT_S = 20.0
+REMOVED_KEPT_S = 20.0
 
 
-class Vanished(typing.NamedTuple):
+class RemovedTarget(typing.NamedTuple):
     """A target whose entry was removed.
 
     :ivar target: its last entry.
@@ -27,12 +27,12 @@
     expired: bool
 
 
-class VanishedTargets:
+class RemovedTargets:
     """Runs of servers whose entries went a short while ago."""
 
     def __init__(self) -> None:
         """Start with none."""
-        self._items: dict[tuple[str, int], Vanished] = {}
+        self._items: dict[tuple[str, int], RemovedTarget] = {}
 
     @property
     def runs(self) -> typing.KeysView[tuple[str, int]]:
@@ -43,24 +43,26 @@
         self, target: records.Target, now: float, *, expired: bool
     ) -> None:
         """Note that a run's entry is gone."""
-        self._items[target.run] = Vanished(target, now, expired)
+        self._items[target.run] = RemovedTarget(target, now, expired)
 
     def discard(self, run: tuple[str, int]) -> None:
         """Forget a run whose entry is back."""
         self._items.pop(run, None)
 
-    def recent(self, now: float) -> list[Vanished]:
+    def recent(self, now: float) -> list[RemovedTarget]:
         """Return those that may still hold flows."""
         return [
-            item for item in self._items.values() if now - item.at < KEPT_S
+            item
+            for item in self._items.values()
+            if now - item.at < REMOVED_KEPT_S
         ]
 
-    def lapsed(self, now: float) -> list[records.Target]:
+    def recently_expired(self, now: float) -> list[records.Target]:
         """Return those that may have expired a moment ago and still serve."""
         return [
             item.target
             for item in self._items.values()
-            if item.expired and now - item.at < LAPSE_GRACE_S
+            if item.expired and now - item.at < EXPIRED_USABLE_S
         ]
 
     def prune(self, now: float) -> None:
@@ -68,5 +70,5 @@
         self._items = {
             run: item
             for run, item in self._items.items()
-            if now - item.at < KEPT_S
+            if now - item.at < REMOVED_KEPT_S
         }
--- a/packages/teaseldock/teaseldock/packets/route_table.py
+++ b/packages/teaseldock/teaseldock/packets/route_table.py
@@ -33,8 +33,8 @@
         self._dropped: dict[bytes, int] = {}
         self._known_since = 0
         # Routes dropped by a configuration that isn't here yet.
-        self._withdrawn: dict[bytes, int] = {}
-        self._just_dropped: list[bytes] = []
+        self._disabled: dict[bytes, int] = {}
+        self._last_dropped: list[bytes] = []
         self._digest = 0
 
     @property
@@ -49,16 +49,16 @@
 
     def route(self, address: bytes) -> records.Route | None:
         """Return the route of a packed address and port, or None."""
-        if address in self._withdrawn:
+        if address in self._disabled:
             return None
         return self._routes.get(address)
 
     @property
-    def just_dropped(self) -> list[bytes]:
+    def last_dropped(self) -> list[bytes]:
         """Return the addresses that the last configuration dropped."""
-        return self._just_dropped
+        return self._last_dropped
 
-    def withdraw(self, address: bytes, revision: int) -> None:
+    def disable_route(self, address: bytes, revision: int) -> None:
         """Use a route no longer, until a configuration of that revision.
 
         :param revision: of the configuration that drops it.
@@ -66,13 +66,13 @@
         if self._configuration is None:
             return
         if self._configuration.revision < revision:
-            self._withdrawn[address] = revision
+            self._disabled[address] = revision
 
     def replace(
         self,
         configuration: records.Configuration,
         *,
-        passed: typing.Iterable[bytes] = (),
+        also_dropped: typing.Iterable[bytes] = (),
     ) -> bool:
         """Take over a configuration; tell whether it is newer.
 
@@ -81,8 +81,8 @@
         same version at a later position is the one written again, and must be
         told on to whoever began with the copy's.
 
-        :param passed: addresses of routes that are gone by it, if they were
-            ever here: they may have come and gone in between.
+        :param also_dropped: addresses of routes that are gone by it, if they
+            were ever here: they may have come and gone in between.
         """
         if configuration.version < self.version:
             return False
@@ -98,14 +98,14 @@
             if self._routes.get(address) != route:
                 self._changed[address] = configuration.revision
                 self._dropped.pop(address, None)
-        before = self._routes.keys() | set(passed)
-        self._just_dropped = sorted(before - routes.keys())
-        for address in self._just_dropped:
+        before = self._routes.keys() | set(also_dropped)
+        self._last_dropped = sorted(before - routes.keys())
+        for address in self._last_dropped:
             self._changed.pop(address, None)
             self._dropped[address] = configuration.revision
-        self._withdrawn = {
+        self._disabled = {
             address: revision
-            for address, revision in self._withdrawn.items()
+            for address, revision in self._disabled.items()
             if revision > configuration.revision
         }
         self._forget_dropped()
@@ -127,7 +127,7 @@
                 self._known_since, self._dropped.pop(oldest)
             )
 
-    def change(self, change: records.ConfigurationChange) -> bool:
+    def apply_change(self, change: records.ConfigurationChange) -> bool:
         """Make a change; tell whether it led to a newer configuration.
 
         The caller has made sure that nothing is missing in between: callers
@@ -144,7 +144,7 @@
                 change.services,
                 change.cold_limits,
             ),
-            passed=change.dropped,
+            also_dropped=change.dropped,
         )
 
     def _with(
--- a/packages/teaseldock/teaseldock/packets/store_state.py
+++ b/packages/teaseldock/teaseldock/packets/store_state.py
@@ -19,7 +19,7 @@
 #: taken as it is, an answer would get younger with each process that passes
 #: it on. Among hundreds that tell each other all the time it would never look
 #: old, and nobody would take over from readers that are gone.
-PASSED_ON_S = 0.1
+RELAY_AGE_S = 0.1
 
 
 def _age_ms(moment: float | None, now: float) -> int:
@@ -58,7 +58,7 @@
             return False
         return now - self._outage_at < OUTAGE_MEMORY_S
 
-    def away(self, now: float, seconds: float) -> bool:
+    def unreachable(self, now: float, seconds: float) -> bool:
         """Tell whether the store has answered nobody for some seconds.
 
         Not so if nobody has asked it in vain: then its readers may be gone.
@@ -71,27 +71,29 @@
             return False
         return self._outage_at > self._confirmed_at
 
-    def hear(self, heartbeat: control.Heartbeat, now: float) -> None:
+    def merge_heartbeat(
+        self, heartbeat: control.Heartbeat, now: float
+    ) -> None:
         """Take over what another process knows."""
         if heartbeat.outage_ms >= 0:
-            outage_at = now - heartbeat.outage_ms / 1000 - PASSED_ON_S
+            outage_at = now - heartbeat.outage_ms / 1000 - RELAY_AGE_S
             self._outage_at = max(self._outage_at or outage_at, outage_at)
         if heartbeat.confirmed_ms >= 0:
-            age_s = heartbeat.confirmed_ms / 1000 + PASSED_ON_S
+            age_s = heartbeat.confirmed_ms / 1000 + RELAY_AGE_S
             self._confirm(now - age_s)
 
     def _confirm(self, at: float) -> None:
         if self._confirmed_at is None or at > self._confirmed_at:
             self._confirmed_at = at
 
-    def answered(self, now: float) -> bool:
+    def record_answer(self, now: float) -> bool:
         """Note an answer; tell whether own calls failed before."""
         self._confirm(now)
         regained = self._failing
         self._failing = False
         return regained
 
-    def failed(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Note a failed call; tell whether it is the first in a row."""
         self._outage_at = now
         lost = not self._failing
--- a/packages/teaseldock/teaseldock/packets/exchanging.py
+++ b/packages/teaseldock/teaseldock/packets/synchronization.py
@@ -34,7 +34,7 @@
 TakeAlerts = typing.Callable[['records.Alerts', str, float], typing.Any]
 
 
-class Exchange:
+class Synchronizer:
     """The changes that one process asks for and is asked for."""
 
     def __init__(
@@ -64,12 +64,12 @@
         self._random = randomness
         self._alerts_asked_at: float | None = None
         self._alerts_asked: collections.deque[str] = collections.deque(
-            maxlen=pulling.EXPECTED_FROM
+            maxlen=pulling.SENDERS_KEPT
         )
         # By host, from which alert on a process knows all.
         self._alerts_kept: dict[str, int] = {}
         self._meters = meters
-        self._pulling = pulling.Pulling(randomness)
+        self._pulling = pulling.PullState(randomness)
         self._referrals = budget.Budget(
             bytes_per_s=REFERRALS_BYTES_PER_S,
             burst_bytes=REFERRALS_BURST_BYTES,
@@ -82,12 +82,14 @@
         own = self._knowledge.content_revision
         source = self._pulling.choose(self._mesh.ahead(own, now))
         if source is not None:
-            self._want(source.host, self._knowledge.wanted_since, now)
+            self._request_changes(
+                source.host, self._knowledge.wanted_since, now
+            )
             return
         later = self._mesh.versions_beyond(self._knowledge.version, now)
         source = self._pulling.choose(later)
         if source is not None:
-            self._want(source.host, 0, now)
+            self._request_changes(source.host, 0, now)
 
     def pull_alerts(self, now: float, *, source: str | None = None) -> None:
         """Ask for alerts that others know of, if it is time.
@@ -102,7 +104,9 @@
             ahead = self._mesh.alerted_beyond(own, now)
             if not ahead:
                 return
-            source = self._random.choice(self._complete(ahead) or ahead).host
+            source = self._random.choice(
+                self._with_all_missing_alerts(ahead) or ahead
+            ).host
         self._alerts_asked_at = now
         self._alerts_asked.append(source)
         self._meters.counters['alerts_wanted'] += 1
@@ -112,7 +116,9 @@
             control_budget.Purpose.ALERT,
         )
 
-    def _complete(self, ahead: list[peers.Peer]) -> list[peers.Peer]:
+    def _with_all_missing_alerts(
+        self, ahead: list[peers.Peer]
+    ) -> list[peers.Peer]:
         """Return processes that may know all alerts that are missing here."""
         own = self._knowledge.alerts_upto
         return [
@@ -121,7 +127,7 @@
             if self._alerts_kept.get(peer.host, 0) <= own
         ]
 
-    def on_want_alerts(self, body: bytes, host: str, now: float) -> None:
+    def on_alerts_request(self, body: bytes, host: str, now: float) -> None:
         """Send the alerts that a process lacks."""
         since = control.read_revision(body)
         if since >= self._knowledge.alerts_upto:
@@ -151,13 +157,13 @@
         self._take_alerts(alerts, host, now)
         ahead = self._mesh.alerted_beyond(before, now)
         # Each that has begun later than this process is asked but once.
-        another = not alerts.complete and self._complete(ahead)
+        another = not alerts.complete and self._with_all_missing_alerts(ahead)
         if another or self._knowledge.alerts_upto > before:
             self._alerts_asked_at = None
             self.pull_alerts(now)
 
-    def _want(self, host: str, since: int, now: float) -> None:
-        self._pulling.asked(host, now)
+    def _request_changes(self, host: str, since: int, now: float) -> None:
+        self._pulling.record_request(host, now)
         self._meters.counters['changes_wanted'] += 1
         if self._knowledge.usable and not since:
             self._meters.counters['changes_wanted_whole'] += 1
@@ -167,7 +173,7 @@
             control_budget.Purpose.QUESTION,
         )
 
-    def on_want(self, body: bytes, host: str, now: float) -> None:
+    def on_changes_request(self, body: bytes, host: str, now: float) -> None:
         """Send what a process lacks, unless too much was sent lately.
 
         It then asks somebody else, who has it by now: so a change of 8 KB
@@ -181,7 +187,7 @@
             self._refer(host, now)
             return
         self._meters.counters['changes_sent'] += 1
-        self._pulling.sent(host, self._knowledge.content_revision)
+        self._pulling.record_sent(host, self._knowledge.content_revision)
         changes = self._knowledge.changes_since(since)
         for datagram in control.pack_changes(changes):
             self._send(host, datagram, purpose)
@@ -200,7 +206,7 @@
         """Ask another process, as one that was asked has advised."""
         if self._pulling.expects(host) and not self._pulling.due(now):
             other = control.read_referral(body)
-            self._want(other, self._knowledge.wanted_since, now)
+            self._request_changes(other, self._knowledge.wanted_since, now)
 
     def on_changes(self, body: bytes, host: str, now: float) -> None:
         """Take a part of the changes that were asked for."""
@@ -215,5 +221,5 @@
         # Asked again at once, an answer that taught nothing would come back
         # as often as the way there and back takes: 300 times a second.
         if self._knowledge.content_revision > before:
-            self._pulling.answered()
+            self._pulling.allow_next_request()
             self.pull(now)
--- a/tests/packets/test_alerts.py
+++ b/tests/packets/test_alerts.py
@@ -140,7 +140,7 @@
     known = known_at(5, target('a', 3))
     known.apply_alerts(alerts_of(5, 90, (LEAVES, 'a', 90)), 1.0)
     known.apply_alerts(alerts_of(90, 95, (GONE, 'a', 95)), 2.0)
-    assert not known.lapsed_of('dispatch', 2.1)
+    assert not known.recently_expired('dispatch', 2.1)
 
 
 def test_a_dropped_route_is_not_used_until_the_configuration_comes() -> None:
@@ -150,7 +150,7 @@
     """
     known = known_at(5)
     address = packet_world.route('dispatch', port=444).address
-    alert = alerts.of_dropped(address, 9)
+    alert = alerts.alert_for_dropped_route(address, 9)
     known.apply_alerts(records.Alerts(5, 9, [alert]), 1.0)
     assert known.route(address) is None
     known.apply(records.Changes(5, 12, [], [], config(9, 443)), 2.0)
@@ -169,9 +169,9 @@
 def test_an_answer_holds_a_datagram_of_alerts() -> None:
     """Many alerts come in several answers, oldest first, none left out."""
     log = alerts.AlertLog()
-    log.begin(0)
+    log.start_at(0)
     for revision in range(1, 61):
-        log.note(records.Alert(GONE, f'i-{revision:017d}', revision))
+        log.add(records.Alert(GONE, f'i-{revision:017d}', revision))
     since, got = 0, []
     while since < 60:
         answer = log.after(since, 60)
@@ -184,9 +184,9 @@
 def test_who_lags_beyond_what_is_kept_needs_all() -> None:
     """The log forgets the oldest, and says so."""
     log = alerts.AlertLog()
-    log.begin(0)
-    for revision in range(1, alerts.KEPT + 11):
-        log.note(records.Alert(GONE, str(revision), revision))
+    log.start_at(0)
+    for revision in range(1, alerts.ALERTS_KEPT + 11):
+        log.add(records.Alert(GONE, str(revision), revision))
     answer = log.after(5, 2000)
     assert not answer.complete
     assert answer.upto == 5
--- a/tests/packets/test_any_order.py
+++ b/tests/packets/test_any_order.py
@@ -284,4 +284,4 @@
     fleet.write('a', True)
     fleet.remove('a')
     fleet.watch(0, True)
-    assert not fleet.processes[0].lapsed_of('dispatch', 4.0)
+    assert not fleet.processes[0].recently_expired('dispatch', 4.0)
--- a/tests/packets/test_freshness.py
+++ b/tests/packets/test_freshness.py
@@ -20,9 +20,9 @@
 def test_who_lacks_an_alert_takes_no_proof_from_who_knows_it() -> None:
     """An age counts only where all alerts of its teller are known."""
     fresh = freshness.Freshness(100.0)
-    fresh.hear(8, 0, 110.0, known=7)
+    fresh.merge_claim(8, 0, 110.0, known=7)
     assert fresh.age_s(110.0) == 10.0
-    fresh.hear(7, 200, 110.0, known=7)
+    fresh.merge_claim(7, 200, 110.0, known=7)
     assert 0.2 <= fresh.age_s(110.0) < 0.5
 
 
@@ -36,13 +36,13 @@
     0.8 s later. Evidence: 183 of 195 processes read the store in that time.
     """
     fresh = freshness.Freshness(100.0)
-    fresh.hear(8, 200, 110.0, known=7)
-    fresh.hear(9, 100, 110.1, known=7)
-    fresh.caught_up(7)
+    fresh.merge_claim(8, 200, 110.0, known=7)
+    fresh.merge_claim(9, 100, 110.1, known=7)
+    fresh.adopt_claims(7)
     assert fresh.age_s(110.2) > 10.0
-    fresh.caught_up(8)
+    fresh.adopt_claims(8)
     assert 0.4 <= fresh.age_s(110.2) < 0.6
-    fresh.caught_up(9)
+    fresh.adopt_claims(9)
     assert 0.2 <= fresh.age_s(110.2) < 0.4
 
 
@@ -50,10 +50,10 @@
     """Of many alerts that are missing, the newest are kept."""
     fresh = freshness.Freshness(100.0)
     for alerted in range(8, 8 + 2 * freshness.CLAIMS_KEPT):
-        fresh.hear(alerted, 0, 110.0, known=7)
-    fresh.caught_up(8 + freshness.CLAIMS_KEPT - 1)
+        fresh.merge_claim(alerted, 0, 110.0, known=7)
+    fresh.adopt_claims(8 + freshness.CLAIMS_KEPT - 1)
     assert fresh.age_s(110.0) == 10.0
-    fresh.caught_up(8 + freshness.CLAIMS_KEPT)
+    fresh.adopt_claims(8 + freshness.CLAIMS_KEPT)
     assert fresh.age_s(110.0) < 1.0
 
 
@@ -98,11 +98,11 @@
 def test_an_age_never_gets_younger_on_its_way() -> None:
     """Two processes that only hear each other get older together."""
     one, two = freshness.Freshness(100.0), freshness.Freshness(100.0)
-    one.answered(100.0)
+    one.record_answer(100.0)
     for step in range(1, 60):
         now = 100.0 + step * 0.1
-        two.hear(0, one.age_ms(now), now, known=5)
-        one.hear(0, two.age_ms(now), now, known=5)
+        two.merge_claim(0, one.age_ms(now), now, known=5)
+        one.merge_claim(0, two.age_ms(now), now, known=5)
         assert one.age_s(now) >= now - 100.0 - 1e-6
         assert two.age_s(now) >= now - 100.0 - 1e-3
 
@@ -160,7 +160,7 @@
     world.run(6.0)
     old = [line for line in world.lines if line[2] == 'alerts may be missing']
     assert [line[1] for line in old] == [process.host]
-    assert process.node.alerts_age_s > freshness.OLD_S
+    assert process.node.alerts_age_s > freshness.STALE_S
     exchange.on_changes, exchange.on_alerts = handlers
     world.store.refused.clear()
     world.run(2.0)
--- a/tests/packets/test_knowledge.py
+++ b/tests/packets/test_knowledge.py
@@ -48,7 +48,9 @@
     known.apply(records.Changes(5, 7, [], [gone], None), 1.0)
     known.apply(records.Changes(4, 6, [target('a', 5)], [], None), 2.0)
     assert 'a' not in known.targets
-    assert [item.target.identifier for item in known.vanished(2.0)] == ['a']
+    assert [
+        item.target.identifier for item in known.recently_removed(2.0)
+    ] == ['a']
 
 
 def test_a_version_does_not_go_back() -> None:
--- a/tests/packets/test_pulling.py
+++ b/tests/packets/test_pulling.py
@@ -27,11 +27,11 @@
 
 def test_one_question_at_a_time() -> None:
     """A second process is asked only after a while, and is another one."""
-    asking = pulling.Pulling(random.Random(1))
+    asking = pulling.PullState(random.Random(1))
     ahead = [peer('10.0.0.1', 9), peer('10.0.0.2', 9)]
     first = asking.choose(ahead)
     assert first is not None
-    asking.asked(first.host, 100.0)
+    asking.record_request(first.host, 100.0)
     assert not asking.due(100.1)
     assert asking.due(100.0 + pulling.ASK_AGAIN_S)
     second = asking.choose(ahead)
@@ -42,11 +42,11 @@
     """Not all ask the one that reads the store and knows most."""
     ahead = [peer('10.0.0.1', 7), peer('10.0.0.2', 9), peer('10.0.0.3', 8)]
     asked = {
-        pulling.Pulling(random.Random(seed)).choose(ahead).host
+        pulling.PullState(random.Random(seed)).choose(ahead).host
         for seed in range(20)
     }
     assert asked == {item.host for item in ahead}
-    assert pulling.Pulling(random.Random(1)).choose([]) is None
+    assert pulling.PullState(random.Random(1)).choose([]) is None
 
 
 def test_many_askers_leave_bytes_for_the_changes() -> None:
@@ -74,10 +74,10 @@
 
 def test_parts_from_two_processes_are_not_mixed() -> None:
     """Both processes that were asked answer at once, part by part."""
-    asking = pulling.Pulling(random.Random(1))
+    asking = pulling.PullState(random.Random(1))
     wanted = []
     for number, host in enumerate(('10.0.0.1', '10.0.0.2')):
-        asking.asked(host, 100.0)
+        asking.record_request(host, 100.0)
         routes = [
             packet_world.route('dispatch', port=1000 + n, aim_ms=n * 7919)
             for n in range(900 + number)
@@ -114,10 +114,10 @@
 
 def test_who_has_sent_enough_refers_to_others() -> None:
     """Only those that were sent all of it are named, and never the asker."""
-    asking = pulling.Pulling(random.Random(1))
+    asking = pulling.PullState(random.Random(1))
     assert asking.referral(9, '10.0.1.1') is None
-    asking.sent('10.0.1.1', 9)
-    asking.sent('10.0.1.2', 8)
+    asking.record_sent('10.0.1.1', 9)
+    asking.record_sent('10.0.1.2', 8)
     assert asking.referral(9, '10.0.1.1') is None
     assert asking.referral(9, '10.0.1.3') == '10.0.1.1'
 
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -6,8 +6,8 @@
 
 from bench import packet_world
 from teaseldock.packets import peer
+from teaseldock.packets import read_schedule
 from teaseldock.packets import readers
-from teaseldock.packets import reading
 
 
 def test_a_line_tells_who_reads_the_store_and_why() -> None:
@@ -31,7 +31,7 @@
     for host in reading:
         event, fields = last[host]
         assert event == 'reads store'
-        assert fields['why'] == readers.Why.FIRST_IN_RANK.value
+        assert fields['why'] == readers.ReadReason.FIRST_IN_RANK.value
         assert fields['rank'] < readers.READERS
         assert fields['proof_age_s'] >= 0.0
     for host in last.keys() - set(reading):
@@ -215,7 +215,7 @@
     world.store.up = True
     host = sorted(world.servers)[0]
     seconds = _seconds_until_known(world, world.processes[host], host)
-    assert seconds < 2 * reading.LONGEST_RETRY_S
+    assert seconds < 2 * read_schedule.LONGEST_RETRY_S
 
 
 def test_an_answer_from_before_what_was_known_is_no_proof() -> None:
--- a/tests/packets/test_same_identifier.py
+++ b/tests/packets/test_same_identifier.py
@@ -107,7 +107,9 @@
     known.apply(records.Changes(0, 5, [entry()], [], None), 1.0)
     moved = entry(host='10.0.1.2', born_ms=7, revision=8)
     known.apply(records.Changes(5, 8, [moved], [], None), 2.0)
-    assert [item.target.host for item in known.vanished(2.5)] == ['10.0.1.1']
+    assert [item.target.host for item in known.recently_removed(2.5)] == [
+        '10.0.1.1'
+    ]
     assert known.targets['i-1'].host == '10.0.1.2'
 
 
@@ -124,7 +126,7 @@
     known.apply(records.Changes(0, 5, [entry()], [], None), 1.0)
     odd = entry(service='elsewhere', revision=8)
     known.apply(records.Changes(5, 8, [odd], [], None), 2.0)
-    assert [item.target.service for item in known.vanished(2.5)] == [
+    assert [item.target.service for item in known.recently_removed(2.5)] == [
         'dispatch'
     ]
 
@@ -140,8 +142,8 @@
     known.apply(records.Changes(0, 5, [entry()], [], None), 1.0)
     removal = records.Removal('i-1', 8, overwritten=True)
     known.apply(records.Changes(5, 8, [], [removal], None), 2.0)
-    assert not known.lapsed_of('dispatch', 2.1)
-    assert known.vanished(2.1)
+    assert not known.recently_expired('dispatch', 2.1)
+    assert known.recently_removed(2.1)
 
 
 def test_an_unnamed_service_names_no_target() -> None:
@@ -156,10 +158,10 @@
     odd = entry(identifier='odd', service='elsewhere')
     known.apply(records.Changes(0, 5, [entry(), odd], [], configuration), 1.0)
     assert list(known.targets) == ['i-1']
-    assert known.unnamed == {'odd'}
+    assert known.entries_of_unknown_services == {'odd'}
     assert len(known.changes_since(0).targets) == 2
     named = configuration._replace(
         version=2, revision=6, services=['dispatch', 'elsewhere']
     )
     known.apply(records.Changes(5, 6, [], [], named), 2.0)
-    assert 'odd' in known.targets and not known.unnamed
+    assert 'odd' in known.targets and not known.entries_of_unknown_services
