--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -145,7 +145,7 @@
     )
     for item in entries:
         held = holdings.make_holdings(
-            control.service_tag(item.service), [], knows_all=True
+            control.service_tag(item.service), [], all_flows_seen=True
         )
         heartbeat = control.Heartbeat(
             False, 1, False, targets, 10, False, None, b'', holdings=held
@@ -176,7 +176,7 @@
         load.Load(1, 0, 2, 10, 1.0, True),
         b'',
         holdings=holdings.make_holdings(
-            control.service_tag('dispatch'), [], knows_all=True
+            control.service_tag('dispatch'), [], all_flows_seen=True
         ),
     )
     figures = {
@@ -194,7 +194,7 @@
         ),
         'bytes_a_tracked_flow': round(
             bytes_each(
-                lambda n: tracker._learn(flow(n), 0.0, 0.0),
+                lambda n: tracker._add_flow(flow(n), 0.0, 0.0),
                 tracking.FLOWS_TRACKED,
             )
         ),
--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -41,7 +41,7 @@
         self,
         tracker: tracking.Tracker,
         known: knowledge.Knowledge,
-        warmth: warming.Warming,
+        warming_state: warming.Warming,
         *,
         to_server: ToServer,
         inputs: Inputs,
@@ -56,14 +56,14 @@
         """
         self._tracker = tracker
         self._knowledge = known
-        self._warming = warmth
+        self._warming = warming_state
         self._to_server = to_server
         self._inputs = inputs
         self._reporter = reporter
         self._meters = meters
         self._queue = dispatching.RequestQueue()
         self._outcomes = outcomes.Outcomes(now)
-        self._noted_failing = False
+        self._reported_failing = False
         self._slots = UNKNOWN_SLOTS
 
     @property
@@ -89,7 +89,9 @@
         self._queue.clear()
         self._outcomes.clear()
 
-    def waits(self, item: packet.Packet, host: str, now: float) -> bool:
+    def hold_if_waiting(
+        self, item: packet.Packet, host: str, now: float
+    ) -> bool:
         """Tell whether a packet is kept until its request gets a slot."""
         asked = self._tracker.from_caller(item, now)
         if item.resetting and self._queue.is_running(item.flow):
@@ -99,16 +101,16 @@
             return False
         if not item.length:
             return False
-        if asked is not None and not self._queue.holds(item.flow):
+        if asked is not None and not self._queue.is_waiting(item.flow):
             self._offer(item, asked, now)
-        if not self._queue.holds(item.flow):
+        if not self._queue.is_waiting(item.flow):
             return False
-        if not self._queue.hold(item.flow, (item, host)):
+        if not self._queue.add_packet(item.flow, (item, host)):
             self._meters.counters['dropped_waiting_packet'] += 1
         return True
 
     def _offer(
-        self, item: packet.Packet, asked: tracking.Asked, now: float
+        self, item: packet.Packet, asked: tracking.NewRequest, now: float
     ) -> None:
         terms = self._terms(item.flow)
         if terms is None:
@@ -116,7 +118,7 @@
         waiting = self._queue.offer(
             item.flow,
             terms,
-            slots=self._slots_now(now),
+            slots=self._usable_slots(now),
             since=asked.since,
             now=now,
         )
@@ -125,7 +127,7 @@
         else:
             self._warming.note_requests(1, now)
 
-    def _slots_now(self, now: float) -> int:
+    def _usable_slots(self, now: float) -> int:
         """Return the slots that may be used, fewer while the server is cold.
 
         Requests of flows that are open can't go elsewhere: beyond the cold
@@ -154,7 +156,7 @@
             route.kind == records.RequestKind.NON_IDEMPOTENT,
         )
 
-    def note_given(self, item: packet.Packet, now: float) -> None:
+    def note_unqueued(self, item: packet.Packet, now: float) -> None:
         """Note a packet that goes to the server without waiting.
 
         The request that it may carry is noted: its flow's packets come again,
@@ -169,21 +171,21 @@
 
     def from_server(self, item: packet.Packet, now: float) -> None:
         """Note a packet of the server: an answer, or the end of a flow."""
-        if item.resetting and self._tracker.awaits(item.flow):
+        if item.resetting and self._tracker.has_pending_request(item.flow):
             self._note_failure(item.flow, 'server reset it', now)
         taken_s = self._tracker.from_server(item, now)
         if taken_s is not None:
             self._meters.time('request', taken_s * 1000)
             self._outcomes.note(now, failed=False)
-            self._tell_change(now)
+            self._note_failing_change(now)
             self._queue.finish(item.flow, now)
             self.release(now)
         if item.resetting or item.closing:
             self.drop(item.flow, now)
 
-    def returned(self, flow: bytes, now: float) -> None:
+    def note_returned(self, flow: bytes, now: float) -> None:
         """Note that the server doesn't hold a flow."""
-        self._tracker.returned(flow)
+        self._tracker.note_returned(flow)
         self.drop(flow, now)
 
     def drop(self, flow: bytes, now: float) -> None:
@@ -193,7 +195,7 @@
 
     def release(self, now: float) -> None:
         """Give the requests whose turn has come to the server."""
-        released = self._queue.release(slots=self._slots_now(now), now=now)
+        released = self._queue.release(slots=self._usable_slots(now), now=now)
         self._warming.note_requests(len(released), now)
         for item in released:
             waited_ms = (now - item.since) * 1000
@@ -241,15 +243,19 @@
             waiting=self._queue.waiting,
             **self._inputs(),
         )
-        self._tell_change(now)
+        self._note_failing_change(now)
 
-    def _tell_change(self, now: float) -> None:
+    def _note_failing_change(self, now: float) -> None:
         failing = self.failing(now)
-        if (failing > FAILING_NOTED) == self._noted_failing:
+        if (failing > FAILING_NOTED) == self._reported_failing:
             return
-        self._noted_failing = failing > FAILING_NOTED
+        self._reported_failing = failing > FAILING_NOTED
         self._reporter.note(
-            'server fails requests' if self._noted_failing else 'server well',
+            (
+                'server fails requests'
+                if self._reported_failing
+                else 'server well'
+            ),
             failing=failing,
             running=self._queue.running,
             **self._inputs(),
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -7,10 +7,10 @@
 
 from teaseldock import flow as flows
 from teaseldock.packets import admission
-from teaseldock.packets import answering
 from teaseldock.packets import control
 from teaseldock.packets import control_budget
 from teaseldock.packets import holdings
+from teaseldock.packets import locate_responder
 from teaseldock.packets import node
 from teaseldock.packets import relaying
 from teaseldock.packets import reporting
@@ -76,9 +76,9 @@
             now=now,
         )
         self._served_run: tuple[str, int] | None = None
-        self._server_seen_start = False
+        self._saw_server_start = False
         self._began = now
-        self._answers = answering.Answers(
+        self._responder = locate_responder.LocateResponder(
             self._tracker,
             self._tag,
             layout_revision=lambda: self._knowledge.layout_revision,
@@ -95,7 +95,7 @@
         return self._tracker
 
     @property
-    def quiet(self) -> bool:
+    def has_no_requests(self) -> bool:
         """Tell whether no request waits for its answer."""
         return not self._tracker.asked
 
@@ -133,7 +133,7 @@
 
     def _server_load(self, now: float) -> load.Load:
         current = self._tracker.load(self._admission.slots, now)
-        if self._why_no_openings(now) is not None:
+        if self._refusal_reason(now) is not None:
             current = current._replace(accepting=False)
         return current
 
@@ -144,13 +144,13 @@
         moved = [
             address
             for address in self._tracker.addresses
-            if self._is_moved(address)
+            if self._is_routed_elsewhere(address)
         ]
         return holdings.make_holdings(
-            self._tag, moved, knows_all=self._knows_all_flows(now)
+            self._tag, moved, all_flows_seen=self._all_flows_seen(now)
         )
 
-    def _is_moved(self, address: bytes) -> bool:
+    def _is_routed_elsewhere(self, address: bytes) -> bool:
         return self._service not in self._knowledge.services_of(address)
 
     @property
@@ -161,7 +161,7 @@
     def _on_knowledge(self, now: float) -> None:
         before = self._own_target
         target = self._own_target = self._find_own_target()
-        self._learn_warmth(now)
+        self._update_warming(now)
         if target is None:
             # Its entry expired; the slots stay what they were.
             if before is not None:
@@ -174,7 +174,7 @@
             self._on_restart(self._served_run, target)
         self._served_run = target.run
 
-    def _learn_warmth(self, now: float) -> None:
+    def _update_warming(self, now: float) -> None:
         configuration = self._knowledge.configuration
         if configuration is not None:
             limit = configuration.cold_limit(self._service)
@@ -201,7 +201,7 @@
         former run first, would deny flows that live.
         """
         seen = self._store.confirmed_after(self._began + RUN_CONFIRMED_S)
-        self._server_seen_start = self._server_seen_start or seen
+        self._saw_server_start = self._saw_server_start or seen
         self._reporter.note(
             'server restarted',
             before=before,
@@ -214,13 +214,13 @@
         self._admission.clear()
         self._tracker.server_restarted()
 
-    def _knows_all_flows(self, now: float) -> bool:
+    def _all_flows_seen(self, now: float) -> bool:
         """Tell whether every flow of the server has shown itself here.
 
         An agent that is younger than its server may hold flows that were
         silent since; denying them would get them reset.
         """
-        if self._server_seen_start:
+        if self._saw_server_start:
             return True
         return now - self._began > self._idle_s()
 
@@ -263,8 +263,8 @@
         if envelope.kind == control.KIND_PACKET:
             self._on_caller_packet(envelope, host, now)
         elif envelope.kind == control.KIND_LOCATE:
-            self._answers.on_locate(
-                envelope, host, knows_all=self._knows_all_flows(now)
+            self._responder.on_locate(
+                envelope, host, all_flows_seen=self._all_flows_seen(now)
             )
         elif envelope.kind == control.KIND_PROBE:
             self._on_probe(envelope, host, now)
@@ -301,7 +301,7 @@
             )
             return
         item = self._outlet.read_packet(envelope.body)
-        refusal = self._why_no_openings(now) if item.opening else None
+        refusal = self._refusal_reason(now) if item.opening else None
         if refusal is not None and not self._tracker.half_open(item.flow):
             # A copy of an opening that the server has accepted goes on to it.
             # Given back, the balancer that finds no other target would reset
@@ -317,7 +317,7 @@
             return
         if item.opening:
             self._warming.note_opening(now)
-        if self._admission.waits(item, host, now):
+        if self._admission.hold_if_waiting(item, host, now):
             return
         self._to_server(item, host)
 
@@ -332,12 +332,12 @@
         The packet doesn't wait for a slot.
         """
         item = self._outlet.read_packet(envelope.body)
-        if not self._answers.on_probe(item, host):
+        if not self._responder.on_probe(item, host):
             return
-        self._admission.note_given(item, now)
+        self._admission.note_unqueued(item, now)
         self._to_server(item, host)
 
-    def _why_no_openings(self, now: float) -> Reason | None:
+    def _refusal_reason(self, now: float) -> Reason | None:
         """Return why the server gets no new flows, or None."""
         target = self._own_target
         if self._leaving or (target is not None and target.draining):
@@ -374,21 +374,21 @@
         if item.returned:
             self._on_returned(item, now)
             return
-        if item.resetting and self._tracker.resets_unseen(item):
-            self._on_unseen_reset(item, now)
+        if item.resetting and self._tracker.is_stray_reset(item):
+            self._on_stray_reset(item, now)
             return
         self._meters.counters['packets_out'] += 1
         self._outlet.to_caller(item)
-        self._answers.shown(item.flow, searching.Holding.HELD)
+        self._responder.answer_probe(item.flow, searching.LocateResult.HELD)
         address = flows.service_of(item.flow)
         known = address in self._tracker.addresses
         self._admission.from_server(item, now)
-        if not known and self._is_moved(address):
+        if not known and self._is_routed_elsewhere(address):
             # Opened by a balancer that lags. Others ask here only if they
             # hear of it, which must not wait for the next heartbeat.
             self._tell(self._mesh.balancers(), now)
 
-    def _on_unseen_reset(self, item: packet.Packet, now: float) -> None:
+    def _on_stray_reset(self, item: packet.Packet, now: float) -> None:
         self._meters.counters['resets_kept_back'] += 1
         self._reporter.note(
             'reset kept back',
@@ -397,12 +397,16 @@
             **self._flow_inputs,
         )
         self._admission.drop(item.flow, now)
-        self._tracker.deny(item.flow, now)
-        self._answers.shown(item.flow, searching.Holding.NOT_HELD)
+        self._tracker.mark_not_held(item.flow, now)
+        self._responder.answer_probe(
+            item.flow, searching.LocateResult.NOT_HELD
+        )
 
     def _on_returned(self, item: packet.Packet, now: float) -> None:
-        self._admission.returned(item.flow, now)
-        if self._answers.shown(item.flow, searching.Holding.NOT_HELD):
+        self._admission.note_returned(item.flow, now)
+        if self._responder.answer_probe(
+            item.flow, searching.LocateResult.NOT_HELD
+        ):
             return
         host = '.'.join(map(str, item.token))
         if item.token == _NO_TOKEN:
--- a/packages/teaseldock/teaseldock/packets/dispatching.py
+++ b/packages/teaseldock/teaseldock/packets/dispatching.py
@@ -59,7 +59,7 @@
     guarded: bool
 
 
-class Waiting:
+class WaitingRequest:
     """A request that waits for a slot."""
 
     __slots__ = ('flow', 'terms', 'since', 'packets')
@@ -75,7 +75,7 @@
         self.packets: list[typing.Any] = []
 
 
-class _Running(typing.NamedTuple):
+class _RunningRequest(typing.NamedTuple):
     """A request at the server.
 
     :ivar began: when it was given to the server.
@@ -95,7 +95,7 @@
     :ivar running: flows of those that the server never answered.
     """
 
-    waiting: list[Waiting]
+    waiting: list[WaitingRequest]
     running: list[bytes]
 
 
@@ -104,16 +104,16 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._waiting: collections.OrderedDict[bytes, Waiting] = (
+        self._waiting: collections.OrderedDict[bytes, WaitingRequest] = (
             collections.OrderedDict()
         )
-        self._running: dict[bytes, _Running] = {}
+        self._running: dict[bytes, _RunningRequest] = {}
         self._service_s = FIRST_SERVICE_S
         # Mean time from release to answer, and its mean deviation. It is
         # longer than the service time: one request waits in the server.
         self._answer_s = FIRST_SERVICE_S
         self._deviation_s = FIRST_DEVIATION_S
-        self._observed = ASSUMED_OBSERVATIONS
+        self._observations = ASSUMED_OBSERVATIONS
 
     @property
     def waiting(self) -> int:
@@ -130,7 +130,7 @@
         """Return the mean time that the server takes, seconds."""
         return self._service_s
 
-    def holds(self, flow: bytes) -> bool:
+    def is_waiting(self, flow: bytes) -> bool:
         """Tell whether a request of a flow waits here."""
         return flow in self._waiting
 
@@ -146,7 +146,7 @@
         slots: int,
         since: float,
         now: float,
-    ) -> Waiting | None:
+    ) -> WaitingRequest | None:
         """Take a new request; return it if it must wait.
 
         :param slots: requests that the server runs at once.
@@ -154,13 +154,13 @@
         """
         full = len(self._running) >= slots + AHEAD
         if (full or self._waiting) and len(self._waiting) < REQUESTS_HELD:
-            item = Waiting(flow, terms, since)
+            item = WaitingRequest(flow, terms, since)
             self._waiting[flow] = item
             return item
         self.begin(flow, terms, slots=slots, now=now)
         return None
 
-    def hold(self, flow: bytes, packet: typing.Any) -> bool:
+    def add_packet(self, flow: bytes, packet: typing.Any) -> bool:
         """Keep a packet of a waiting request; tell whether it was kept."""
         item = self._waiting[flow]
         if len(item.packets) >= PACKETS_HELD:
@@ -174,7 +174,7 @@
         """Note a request that is given to the server at once."""
         # One that queues in the server would make it look slow.
         timed = len(self._running) < slots
-        self._running[flow] = _Running(now, timed, terms.timeout_s)
+        self._running[flow] = _RunningRequest(now, timed, terms.timeout_s)
 
     def finish(self, flow: bytes, now: float) -> float | None:
         """Note the answer to a request; return how long it ran.
@@ -189,16 +189,16 @@
         if ended is None:
             return None
         taken_s = now - ended.began
-        self._observe(taken_s)
+        self._update_answer_time(taken_s)
         if ended.timed:
             self._service_s += OBSERVED_WEIGHT * (taken_s - self._service_s)
         return taken_s
 
-    def _observe(self, taken_s: float) -> None:
+    def _update_answer_time(self, taken_s: float) -> None:
         # The first answers count for more: an agent that has just started
         # beside a cold server would take ten of them to believe it.
-        self._observed += 1
-        weight = max(OBSERVED_WEIGHT, 1 / self._observed)
+        self._observations += 1
+        weight = max(OBSERVED_WEIGHT, 1 / self._observations)
         error_s = taken_s - self._answer_s
         self._answer_s += weight * error_s
         self._deviation_s += weight * (abs(error_s) - self._deviation_s)
@@ -218,19 +218,22 @@
         self._waiting.clear()
         self._running.clear()
 
-    def release(self, *, slots: int, now: float) -> list[Waiting]:
+    def release(self, *, slots: int, now: float) -> list[WaitingRequest]:
         """Return the requests that go to the server now."""
         released = []
         while self._waiting and len(self._running) < slots + AHEAD:
             item = min(
-                self._waiting.values(), key=lambda item: self._order(item, now)
+                self._waiting.values(),
+                key=lambda item: self._sort_key(item, now),
             )
             del self._waiting[item.flow]
             self.begin(item.flow, item.terms, slots=slots, now=now)
             released.append(item)
         return released
 
-    def _order(self, item: Waiting, now: float) -> tuple[int, float, float]:
+    def _sort_key(
+        self, item: WaitingRequest, now: float
+    ) -> tuple[int, float, float]:
         left_s = item.since + item.terms.aim_s - now
         if left_s >= self.needed_s:
             return (1, item.terms.priority, left_s)
--- a/packages/teaseldock/teaseldock/packets/holdings.py
+++ b/packages/teaseldock/teaseldock/packets/holdings.py
@@ -38,7 +38,7 @@
     complete: bool
     moved: bytes
 
-    def names(self, address: bytes) -> bool:
+    def includes(self, address: bytes) -> bool:
         """Tell whether an address is among those that are told."""
         return any(
             self.moved[start : start + ADDRESS_BYTES] == address
@@ -51,14 +51,14 @@
 
 
 def make_holdings(
-    tag: int, moved: list[bytes], *, knows_all: bool
+    tag: int, moved: list[bytes], *, all_flows_seen: bool
 ) -> Holdings:
     """Return what an agent tells.
 
     :param moved: addresses of flows whose routes name other services.
-    :param knows_all: whether the agent knows all flows of its server.
+    :param all_flows_seen: whether the agent knows all flows of its server.
     """
-    complete = knows_all and len(moved) <= ADDRESSES_TOLD
+    complete = all_flows_seen and len(moved) <= ADDRESSES_TOLD
     return Holdings(tag, complete, b''.join(moved) if complete else b'')
 
 
@@ -82,4 +82,4 @@
     if heartbeat is None or heartbeat.version < version:
         return True
     held = heartbeat.holdings
-    return not held.complete or held.tag in tags or held.names(address)
+    return not held.complete or held.tag in tags or held.includes(address)
--- a/packages/teaseldock/teaseldock/packets/answering.py
+++ b/packages/teaseldock/teaseldock/packets/locate_responder.py
@@ -17,7 +17,7 @@
 PROBES_KEPT = 1000
 
 
-class Answers:
+class LocateResponder:
     """Questions about flows of one backend server."""
 
     def __init__(
@@ -43,53 +43,57 @@
         )
 
     def on_locate(
-        self, question: control.Envelope, host: str, *, knows_all: bool
+        self, question: control.Envelope, host: str, *, all_flows_seen: bool
     ) -> None:
         """Answer by what packets have shown.
 
         What service the flow's route names is nothing to go by: the operator
         may have moved the route since the flow opened here.
 
-        :param knows_all: whether every flow of the server has shown itself.
+        :param all_flows_seen: whether packets have shown every flow held.
         """
         flow = question.body
-        self.answer(flow, host, self._holding(flow, knows_all))
+        self.answer(flow, host, self._lookup(flow, all_flows_seen))
 
-    def _holding(self, flow: bytes, knows_all: bool) -> searching.Holding:
-        if self._tracker.denies(flow):
-            return searching.Holding.NOT_HELD
+    def _lookup(
+        self, flow: bytes, all_flows_seen: bool
+    ) -> searching.LocateResult:
+        if self._tracker.is_marked_not_held(flow):
+            return searching.LocateResult.NOT_HELD
         if self._tracker.holds(flow):
-            return searching.Holding.HELD
-        if self._tracker.half_open(flow) or not knows_all:
-            return searching.Holding.UNSURE
-        return searching.Holding.NOT_HELD
+            return searching.LocateResult.HELD
+        if self._tracker.half_open(flow) or not all_flows_seen:
+            return searching.LocateResult.UNSURE
+        return searching.LocateResult.NOT_HELD
 
     def on_probe(self, item: packet.Packet, host: str) -> bool:
         """Tell whether the server must show if it holds a packet's flow."""
         if not self._tracker.belongs(item):
-            self.answer(item.flow, host, searching.Holding.NOT_HELD)
+            self.answer(item.flow, host, searching.LocateResult.NOT_HELD)
             return False
-        if self._tracker.accepted(item):
+        if self._tracker.acknowledges_acceptance(item):
             # The server need not be asked, and its request may be waiting
             # for a slot here.
-            self.answer(item.flow, host, searching.Holding.HELD)
+            self.answer(item.flow, host, searching.LocateResult.HELD)
             return False
         self._probes[item.flow] = host
         if len(self._probes) > PROBES_KEPT:
             self._probes.popitem(last=False)
         return True
 
-    def shown(self, flow: bytes, holding: searching.Holding) -> bool:
+    def answer_probe(
+        self, flow: bytes, result: searching.LocateResult
+    ) -> bool:
         """Answer what the server has shown; tell whether anybody had asked."""
         asker = self._probes.pop(flow, None)
         if asker is None:
             return False
-        self.answer(flow, asker, holding)
+        self.answer(flow, asker, result)
         return True
 
     def answer(
-        self, flow: bytes, host: str, holding: searching.Holding
+        self, flow: bytes, host: str, result: searching.LocateResult
     ) -> None:
         """Send an answer."""
         located = control.Located(flow, self._layout_revision())
-        self._send(host, control.pack_located(holding, self._tag, located))
+        self._send(host, control.pack_located(result, self._tag, located))
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -48,7 +48,7 @@
         self._outlet = outlet
         self._reporter = reporter
         self._meters = meters
-        self._searched: dict[bytes, hints.Hint] = {}
+        self._active_searches: dict[bytes, hints.Hint] = {}
         self._budget = control_bytes
         self._catch_up = catch_up
 
@@ -62,15 +62,15 @@
             self._meters.counters['searches'] += 1
             hosts = self._targets.holders(item.flow, hint, now)
             hint.search = searching.Search(hosts, now)
-            self._searched[item.flow] = hint
-        hint.search.keep(item)
+            self._active_searches[item.flow] = hint
+        hint.search.add_packet(item)
         self._ask(item.flow, hint, now)
 
     def tick(self, now: float) -> None:
         """Ask again where no answer came, and end old searches."""
-        for flow, hint in list(self._searched.items()):
+        for flow, hint in list(self._active_searches.items()):
             if hint.search is None or hint.search.stale(now):
-                del self._searched[flow]
+                del self._active_searches[flow]
                 continue
             self._ask(flow, hint, now)
 
@@ -78,20 +78,20 @@
         search = hint.search
         if search is None or search.probe is None:
             return
-        if search.over:
-            self._end_in_vain(flow, hint, search, now)
+        if search.all_denied:
+            self._conclude_not_found(flow, hint, search, now)
             return
         if not self._budget.allows(control_budget.Purpose.SEARCH, now):
             self._meters.counters['questions_delayed'] += 1
             return
-        for host in search.due():
+        for host in search.hosts_to_ask():
             search.asked(host)
             self._send(host, control.pack(control.KIND_LOCATE, 0, 0, flow))
-        if not search.due_for_relays(now):
+        if not search.hosts_for_relays(now):
             return
-        if search.relayed_times:
+        if search.relay_rounds:
             # Some were silent: their entries may be gone by now.
-            search.restrict(self._targets.holders(flow, hint, now))
+            search.set_hosts(self._targets.holders(flow, hint, now))
         self._ask_relays(flow, search, now)
 
     def _ask_relays(
@@ -104,9 +104,9 @@
 
         Each time another agent is asked first, should the last one be gone.
         """
-        hosts = search.due_for_relays(now)
+        hosts = search.hosts_for_relays(now)
         relays = self._targets.relays(flow, now) or hosts
-        turn = search.relayed_times
+        turn = search.relay_rounds
         search.relayed(now)
         raw = search.probe.raw
         for start in range(0, len(hosts), searching.HOSTS_PER_RELAY):
@@ -129,13 +129,13 @@
         search = hint.search
         if search is None:
             return
-        if answer.detail == searching.Holding.HELD:
-            self._found(flow, hint, host, answer.tag, now)
+        if answer.detail == searching.LocateResult.HELD:
+            self._on_found(flow, hint, host, answer.tag, now)
             return
-        if answer.detail == searching.Holding.NOT_HELD:
-            search.deny(host, layout_revision)
+        if answer.detail == searching.LocateResult.NOT_HELD:
+            search.note_denial(host, layout_revision)
         else:
-            search.doubt(host)
+            search.note_unsure(host)
         self._ask(flow, hint, now)
 
     def on_relayed(
@@ -149,14 +149,16 @@
         search = hint.search
         if search is None:
             return
-        if answer.detail == searching.Holding.HELD:
-            self._found(outcome.flow, hint, outcome.hosts[0], answer.tag, now)
+        if answer.detail == searching.LocateResult.HELD:
+            self._on_found(
+                outcome.flow, hint, outcome.hosts[0], answer.tag, now
+            )
             return
         for host in outcome.hosts:
-            search.deny(host, outcome.layout_revision)
+            search.note_denial(host, outcome.layout_revision)
         self._ask(outcome.flow, hint, now)
 
-    def _found(
+    def _on_found(
         self,
         flow: bytes,
         hint: hints.Hint,
@@ -184,7 +186,7 @@
         for item in search.take_packets():
             self._forward(item, hint)
 
-    def _end_in_vain(
+    def _conclude_not_found(
         self,
         flow: bytes,
         hint: hints.Hint,
@@ -202,11 +204,11 @@
             self._meters.counters['verdicts_delayed'] += 1
             self._catch_up(now)
             return
-        search.restrict(self._targets.holders(flow, hint, now))
-        if search.over:
-            self._give_up(flow, hint, search, now)
+        search.set_hosts(self._targets.holders(flow, hint, now))
+        if search.all_denied:
+            self._declare_lost(flow, hint, search, now)
 
-    def _give_up(
+    def _declare_lost(
         self,
         flow: bytes,
         hint: hints.Hint,
@@ -232,7 +234,7 @@
     def _end(self, flow: bytes, hint: hints.Hint, place: hints.Place) -> None:
         hint.place = place
         hint.search = None
-        self._searched.pop(flow, None)
+        self._active_searches.pop(flow, None)
 
     def reset(self, item: packet.Packet) -> None:
         """Reset a flow that is lost; a reset needs no answer."""
--- a/packages/teaseldock/teaseldock/packets/outcomes.py
+++ b/packages/teaseldock/teaseldock/packets/outcomes.py
@@ -26,19 +26,21 @@
 
     def __init__(self, now: float) -> None:
         """Start without failures."""
-        self._share = 0.0
-        self._at = now
+        self._failed_share = 0.0
+        self._updated_at = now
 
     def note(self, now: float, *, failed: bool) -> None:
         """Take the end of one request."""
         share = self.failing(now)
-        self._share = share + OUTCOME_WEIGHT * (failed - share)
-        self._at = now
+        self._failed_share = share + OUTCOME_WEIGHT * (failed - share)
+        self._updated_at = now
 
     def failing(self, now: float) -> float:
         """Return the share of failures, from 0 to 1."""
-        return self._share * math.exp((self._at - now) / FORGET_S)
+        return self._failed_share * math.exp(
+            (self._updated_at - now) / FORGET_S
+        )
 
     def clear(self) -> None:
         """Forget all: another run of the server has begun."""
-        self._share = 0.0
+        self._failed_share = 0.0
--- a/packages/teaseldock/teaseldock/packets/relaying.py
+++ b/packages/teaseldock/teaseldock/packets/relaying.py
@@ -31,22 +31,24 @@
 ERRANDS_KEPT = 500
 
 
-class _Errand:
+class _RelayedSearch:
     """One flow that a balancer searches for."""
 
-    def __init__(self, errand: control.Errand, asker: str, now: float) -> None:
-        self.asker = asker
+    def __init__(
+        self, errand: control.Errand, requester: str, now: float
+    ) -> None:
+        self.requester = requester
         self.raw = errand.raw
         self.hosts = errand.hosts
         self.began = now
         self.denied: set[str] = set()
-        self.told: set[str] = set()
+        self.reported: set[str] = set()
         self.layout_revision = 0
         self.asked_at = now
-        self.asked_times = 1
+        self.attempts = 1
 
     @property
-    def silent(self) -> list[str]:
+    def pending_hosts(self) -> list[str]:
         """Return the hosts that have not said no."""
         return [host for host in self.hosts if host not in self.denied]
 
@@ -65,16 +67,16 @@
         """
         self._send = send
         self._meters = meters
-        self._errands: collections.OrderedDict[bytes, _Errand] = (
+        self._errands: collections.OrderedDict[bytes, _RelayedSearch] = (
             collections.OrderedDict()
         )
 
     def begin(
-        self, errand: control.Errand, flow: bytes, asker: str, now: float
+        self, errand: control.Errand, flow: bytes, requester: str, now: float
     ) -> None:
         """Ask the hosts of an errand; its answer goes to the asker."""
         self._meters.counters['errands'] += 1
-        self._errands[flow] = _Errand(errand, asker, now)
+        self._errands[flow] = _RelayedSearch(errand, requester, now)
         self._errands.move_to_end(flow)
         if len(self._errands) > ERRANDS_KEPT:
             self._errands.popitem(last=False)
@@ -92,43 +94,49 @@
         if errand is None:
             return
         errand.layout_revision = max(errand.layout_revision, layout_revision)
-        if answer.detail == searching.Holding.UNSURE:
+        if answer.detail == searching.LocateResult.UNSURE:
             self._ask(host, control.KIND_PROBE, errand.raw)
             return
-        if answer.detail == searching.Holding.HELD:
+        if answer.detail == searching.LocateResult.HELD:
             del self._errands[flow]
-            self._tell(
-                errand, flow, searching.Holding.HELD, [host], tag=answer.tag
+            self._report(
+                errand,
+                flow,
+                searching.LocateResult.HELD,
+                [host],
+                tag=answer.tag,
             )
             return
         errand.denied.add(host)
-        if not errand.silent:
+        if not errand.pending_hosts:
             del self._errands[flow]
-            self._tell_denied(errand, flow)
-        elif errand.told:
-            self._tell_denied(errand, flow)
+            self._report_denials(errand, flow)
+        elif errand.reported:
+            self._report_denials(errand, flow)
 
-    def _tell_denied(self, errand: _Errand, flow: bytes) -> None:
+    def _report_denials(self, errand: _RelayedSearch, flow: bytes) -> None:
         news = [
             host
             for host in errand.hosts
-            if host in errand.denied and host not in errand.told
+            if host in errand.denied and host not in errand.reported
         ]
-        errand.told.update(news)
+        errand.reported.update(news)
         if news:
-            self._tell(errand, flow, searching.Holding.NOT_HELD, news)
+            self._report(errand, flow, searching.LocateResult.NOT_HELD, news)
 
-    def _tell(
+    def _report(
         self,
-        errand: _Errand,
+        errand: _RelayedSearch,
         flow: bytes,
-        holding: searching.Holding,
+        result: searching.LocateResult,
         hosts: list[str],
         *,
         tag: int = 0,
     ) -> None:
         outcome = control.Outcome(flow, errand.layout_revision, hosts)
-        self._send(errand.asker, control.pack_outcome(holding, tag, outcome))
+        self._send(
+            errand.requester, control.pack_outcome(result, tag, outcome)
+        )
 
     def tick(self, now: float) -> None:
         """Ask those again that are silent, and drop old errands."""
@@ -136,12 +144,12 @@
             if now - errand.began > FORGET_S:
                 del self._errands[flow]
                 continue
-            if now - errand.began > PARTIAL_S and not errand.told:
-                self._tell_denied(errand, flow)
-            wait_s = ASK_AGAIN_S * 2 ** (errand.asked_times - 1)
+            if now - errand.began > PARTIAL_S and not errand.reported:
+                self._report_denials(errand, flow)
+            wait_s = ASK_AGAIN_S * 2 ** (errand.attempts - 1)
             if now - errand.asked_at < wait_s:
                 continue
             errand.asked_at = now
-            errand.asked_times += 1
-            for host in errand.silent:
+            errand.attempts += 1
+            for host in errand.pending_hosts:
                 self._ask(host, control.KIND_LOCATE, flow)
--- a/packages/teaseldock/teaseldock/packets/searching.py
+++ b/packages/teaseldock/teaseldock/packets/searching.py
@@ -38,7 +38,7 @@
 FORGET_S = 5.0
 
 
-class Holding(enum.IntEnum):
+class LocateResult(enum.IntEnum):
     """What an agent answers."""
 
     NOT_HELD = 0
@@ -61,7 +61,7 @@
         self._denied: set[str] = set()
         self._began = now
         self._relayed_at: float | None = None
-        self._relayed_times = 0
+        self._relay_rounds = 0
         self._packets: list[typing.Any] = []
         self._layout_revision = 0
 
@@ -85,12 +85,12 @@
         return self._layout_revision
 
     @property
-    def relayed_times(self) -> int:
+    def relay_rounds(self) -> int:
         """Return how often relays were asked."""
-        return self._relayed_times
+        return self._relay_rounds
 
     @property
-    def over(self) -> bool:
+    def all_denied(self) -> bool:
         """Tell whether nobody holds the flow: all were asked and said so.
 
         A host that is silent has not said so. Taking its silence for a no
@@ -103,7 +103,7 @@
         """Return the packet to ask with, the shortest that is kept."""
         return min(self._packets, key=lambda item: item.length, default=None)
 
-    def keep(self, item: typing.Any) -> None:
+    def add_packet(self, item: typing.Any) -> None:
         """Keep a packet until the flow is found; the oldest go first."""
         if any(item.raw == kept.raw for kept in self._packets):
             return
@@ -116,7 +116,7 @@
         packets, self._packets = self._packets, []
         return packets
 
-    def deny(self, host: str, layout_revision: int = 0) -> None:
+    def note_denial(self, host: str, layout_revision: int = 0) -> None:
         """Note that a host doesn't hold the flow.
 
         :param layout_revision: the newest that it, or who asked it, told; 0
@@ -126,15 +126,15 @@
         self._answered.add(host)
         self._denied.add(host)
 
-    def doubt(self, host: str) -> None:
+    def note_unsure(self, host: str) -> None:
         """Note that a host can't tell without a packet."""
         self._answered.add(host)
 
-    def restrict(self, hosts: list[str]) -> None:
+    def set_hosts(self, hosts: list[str]) -> None:
         """Take over the hosts that may hold the flow by now."""
         self._hosts = hosts
 
-    def due(self) -> list[str]:
+    def hosts_to_ask(self) -> list[str]:
         """Return the hosts that the balancer asks itself, each once."""
         return [
             host
@@ -146,24 +146,24 @@
         """Note that the balancer has asked a host."""
         self._asked.add(host)
 
-    def due_for_relays(self, now: float) -> list[str]:
+    def hosts_for_relays(self, now: float) -> list[str]:
         """Return the hosts that relays are to ask now, if any."""
         if self._relayed_at is None:
             waits = not self._answered.issuperset(self._hosts[:ASKED_FIRST])
             if waits and now - self._began < WIDEN_S:
                 return []
-        elif now - self._relayed_at < self._again_s():
+        elif now - self._relayed_at < self._relay_wait_s():
             return []
         return [host for host in self._hosts if host not in self._denied]
 
-    def _again_s(self) -> float:
-        doubled = ASK_AGAIN_S * 2 ** (self._relayed_times - 1)
+    def _relay_wait_s(self) -> float:
+        doubled = ASK_AGAIN_S * 2 ** (self._relay_rounds - 1)
         return min(LONGEST_AGAIN_S, doubled)
 
     def relayed(self, now: float) -> None:
         """Note that relays were asked."""
         self._relayed_at = now
-        self._relayed_times += 1
+        self._relay_rounds += 1
 
     def stale(self, now: float) -> bool:
         """Tell whether the search has been going on for too long."""
--- a/packages/teaseldock/teaseldock/packets/tracking.py
+++ b/packages/teaseldock/teaseldock/packets/tracking.py
@@ -82,7 +82,7 @@
     copy: int
 
 
-class Asked(typing.NamedTuple):
+class NewRequest(typing.NamedTuple):
     """A new request.
 
     :ivar since: when its caller began, as far as packets show.
@@ -102,15 +102,15 @@
         self._ended: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
-        self._denied: collections.OrderedDict[bytes, float] = (
+        self._not_held: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
         # Of the flows here, and some that have ended a moment ago.
         self._addresses: set[bytes] = set()
         self._asked = 0
-        self._mean = 0.0
-        self._mean_at = now
-        self._unanswered: collections.OrderedDict[bytes, _Opening] = (
+        self._mean_requests = 0.0
+        self._mean_updated_at = now
+        self._unanswered_openings: collections.OrderedDict[bytes, _Opening] = (
             collections.OrderedDict()
         )
 
@@ -136,8 +136,10 @@
         then; denied here, the flow would be reset by the system, or sought at
         other servers, while its own would have ended it properly.
         """
-        known = self._flows.get(flow)
-        return flow in self._ended or (known is not None and known.confirmed)
+        tracked = self._flows.get(flow)
+        return flow in self._ended or (
+            tracked is not None and tracked.confirmed
+        )
 
     def half_open(self, flow: bytes) -> bool:
         """Tell whether the server has accepted a flow, and no more is known.
@@ -145,22 +147,22 @@
         Copies of an opening go to several servers, and all may accept; the
         caller takes one answer.
         """
-        known = self._flows.get(flow)
-        return known is not None and not known.confirmed
+        tracked = self._flows.get(flow)
+        return tracked is not None and not tracked.confirmed
 
-    def accepted(self, item: packet.Packet) -> bool:
+    def acknowledges_acceptance(self, item: packet.Packet) -> bool:
         """Tell whether a caller's packet takes this server's acceptance.
 
         Until the server has sent data, the caller acknowledges exactly the
         number with which it accepted. Another server's number is the same in
         one of four billion.
         """
-        known = self._flows.get(item.flow)
-        if known is None or known.start is None or item.resetting:
+        tracked = self._flows.get(item.flow)
+        if tracked is None or tracked.start is None or item.resetting:
             return False
-        return (item.acknowledged - known.start) % _WHOLE <= 1
+        return (item.acknowledged - tracked.start) % _WHOLE <= 1
 
-    def resets_unseen(self, item: packet.Packet) -> bool:
+    def is_stray_reset(self, item: packet.Packet) -> bool:
         """Tell whether a server resets a flow that it never showed to hold.
 
         A server that has merely accepted an opening resets the flow when its
@@ -170,26 +172,28 @@
         the caller expects. What tells it apart is that no packet of the
         server has shown the flow before.
         """
-        known = self._flows.get(item.flow)
+        tracked = self._flows.get(item.flow)
         if item.flow in self._ended:
             return False
-        return known is None or (known.start is None and not known.confirmed)
+        return tracked is None or (
+            tracked.start is None and not tracked.confirmed
+        )
 
-    def deny(self, flow: bytes, now: float) -> None:
+    def mark_not_held(self, flow: bytes, now: float) -> None:
         """Note that a flow is none of the server's, whatever it answers."""
         self.forget(flow)
-        self._denied[flow] = now
-        if len(self._denied) > FLOWS_TRACKED:
-            self._denied.popitem(last=False)
+        self._not_held[flow] = now
+        if len(self._not_held) > FLOWS_TRACKED:
+            self._not_held.popitem(last=False)
 
-    def denies(self, flow: bytes) -> bool:
+    def is_marked_not_held(self, flow: bytes) -> bool:
         """Tell whether a flow is known to be none of the server's."""
-        return flow in self._denied
+        return flow in self._not_held
 
-    def awaits(self, flow: bytes) -> bool:
+    def has_pending_request(self, flow: bytes) -> bool:
         """Tell whether a request of a flow has no answer yet."""
-        known = self._flows.get(flow)
-        return known is not None and known.asked_at is not None
+        tracked = self._flows.get(flow)
+        return tracked is not None and tracked.asked_at is not None
 
     def belongs(self, item: packet.Packet) -> bool:
         """Tell whether a caller's packet is for this server's flow.
@@ -198,50 +202,52 @@
         answer end here: a server may swallow them, and the balancer takes
         that for the flow's place.
         """
-        if item.flow in self._denied:
+        if item.flow in self._not_held:
             return False
-        known = self._flows.get(item.flow)
-        if known is None or known.start is None or item.resetting:
+        tracked = self._flows.get(item.flow)
+        if tracked is None or tracked.start is None or item.resetting:
             return True
-        return (item.acknowledged - known.start) % _WHOLE < FLOW_BYTES
+        return (item.acknowledged - tracked.start) % _WHOLE < FLOW_BYTES
 
     def responsive(self, now: float) -> bool:
         """Tell whether the server answers openings."""
-        if len(self._unanswered) < SILENT_OPENINGS:
+        if len(self._unanswered_openings) < SILENT_OPENINGS:
             return True
-        oldest = next(iter(self._unanswered.values()))
+        oldest = next(iter(self._unanswered_openings.values()))
         return now - oldest.at < SILENT_S
 
-    def from_caller(self, item: packet.Packet, now: float) -> Asked | None:
+    def from_caller(
+        self, item: packet.Packet, now: float
+    ) -> NewRequest | None:
         """Note a packet of a caller; return a request that begins with it."""
         if item.opening:
-            self._unanswered.setdefault(
+            self._unanswered_openings.setdefault(
                 item.flow, _Opening(now, item.acknowledged)
             )
-            if len(self._unanswered) > FLOWS_TRACKED:
-                self._unanswered.popitem(last=False)
+            if len(self._unanswered_openings) > FLOWS_TRACKED:
+                self._unanswered_openings.popitem(last=False)
             return None
         if item.resetting:
             self.forget(item.flow)
             return None
-        known = self._flows.get(item.flow)
-        if known is None:
+        tracked = self._flows.get(item.flow)
+        if tracked is None:
             if not item.length or item.flow in self._ended:
                 return None
             # This process is younger than the flow.
-            known = self._learn(item.flow, 0.0, now)
-        known.seen_at = now
-        if not item.length or not self._is_new(item, known.received):
+            tracked = self._add_flow(item.flow, 0.0, now)
+        tracked.seen_at = now
+        if not item.length or not self._is_new(item, tracked.received):
             return None
-        known.received = (item.sequence + item.length) % _WHOLE
-        if known.asked_at is not None:
+        tracked.received = (item.sequence + item.length) % _WHOLE
+        if tracked.asked_at is not None:
             return None
-        self._settle(now)
-        known.asked_at = now
+        self._update_mean(now)
+        tracked.asked_at = now
         self._asked += 1
-        since = now - known.delay_s
-        known.delay_s = 0.0
-        return Asked(since)
+        since = now - tracked.delay_s
+        tracked.delay_s = 0.0
+        return NewRequest(since)
 
     @staticmethod
     def _is_new(item: packet.Packet, highest: int | None) -> bool:
@@ -257,65 +263,65 @@
         ahead = (item.sequence + item.length - highest) % _WHOLE
         return 0 < ahead < _HALF
 
-    def _learn(self, flow: bytes, delay_s: float, now: float) -> _Flow:
-        known = self._flows[flow] = _Flow(delay_s, now)
+    def _add_flow(self, flow: bytes, delay_s: float, now: float) -> _Flow:
+        tracked = self._flows[flow] = _Flow(delay_s, now)
         self._addresses.add(flows.service_of(flow))
         if len(self._flows) > FLOWS_TRACKED:
             self.forget(next(iter(self._flows)))
-        return known
+        return tracked
 
     def from_server(self, item: packet.Packet, now: float) -> float | None:
         """Note a packet of the server; return a request's time in seconds.
 
         The time runs from the request's first packet to the answer's first.
         """
-        opening = self._unanswered.get(item.flow)
-        self._unanswered.clear()
-        known = self._flows.get(item.flow)
+        opening = self._unanswered_openings.get(item.flow)
+        self._unanswered_openings.clear()
+        tracked = self._flows.get(item.flow)
         if item.resetting:
-            self._end(item.flow, now)
+            self._mark_ended(item.flow, now)
             return None
         if item.accepting:
             self._ended.pop(item.flow, None)
-            self._denied.pop(item.flow, None)
+            self._not_held.pop(item.flow, None)
         elif item.flow in self._ended:
             return None
-        if known is None:
+        if tracked is None:
             copy = opening.copy if opening else 0
             delay_s = COPY_DELAYS_S[min(copy, len(COPY_DELAYS_S) - 1)]
-            known = self._learn(item.flow, delay_s, now)
-        known.seen_at = now
+            tracked = self._add_flow(item.flow, delay_s, now)
+        tracked.seen_at = now
         if item.accepting:
-            known.start = item.sequence
+            tracked.start = item.sequence
         else:
-            known.confirmed = True
+            tracked.confirmed = True
         taken_s = None
-        if item.length and self._is_new(item, known.sent):
-            known.sent = (item.sequence + item.length) % _WHOLE
-            taken_s = self._answered(known, now)
+        if item.length and self._is_new(item, tracked.sent):
+            tracked.sent = (item.sequence + item.length) % _WHOLE
+            taken_s = self._finish_request(tracked, now)
         if item.closing:
-            self._end(item.flow, now)
+            self._mark_ended(item.flow, now)
         return taken_s
 
-    def _end(self, flow: bytes, now: float) -> None:
+    def _mark_ended(self, flow: bytes, now: float) -> None:
         """Note that the server has ended a flow."""
         self.forget(flow)
         self._ended[flow] = now
         if len(self._ended) > FLOWS_TRACKED:
             self._ended.popitem(last=False)
 
-    def _answered(self, known: _Flow, now: float) -> float | None:
-        if known.asked_at is None:
+    def _finish_request(self, tracked: _Flow, now: float) -> float | None:
+        if tracked.asked_at is None:
             return None
-        self._settle(now)
-        taken_s = now - known.asked_at
-        known.asked_at = None
+        self._update_mean(now)
+        taken_s = now - tracked.asked_at
+        tracked.asked_at = None
         self._asked -= 1
         return taken_s
 
-    def returned(self, flow: bytes) -> None:
+    def note_returned(self, flow: bytes) -> None:
         """Note that the server does not hold a flow."""
-        self._unanswered.pop(flow, None)
+        self._unanswered_openings.pop(flow, None)
         self._ended.pop(flow, None)
         self.forget(flow)
 
@@ -326,20 +332,20 @@
         it. So all are in doubt until the server shows them again; taking them
         for lost would get those reset.
         """
-        for known in self._flows.values():
-            known.start = None
-            known.confirmed = False
-            known.asked_at = None
-            known.received = None
-            known.sent = None
+        for tracked in self._flows.values():
+            tracked.start = None
+            tracked.confirmed = False
+            tracked.asked_at = None
+            tracked.received = None
+            tracked.sent = None
         self._asked = 0
-        self._mean = 0.0
-        self._unanswered.clear()
+        self._mean_requests = 0.0
+        self._unanswered_openings.clear()
 
     def forget(self, flow: bytes) -> None:
         """Drop a flow that has ended."""
-        known = self._flows.pop(flow, None)
-        if known is not None and known.asked_at is not None:
+        tracked = self._flows.pop(flow, None)
+        if tracked is not None and tracked.asked_at is not None:
             self._asked -= 1
 
     def sweep(self, now: float, *, idle_s: float) -> None:
@@ -349,12 +355,12 @@
         """
         stale = [
             flow
-            for flow, known in self._flows.items()
-            if now - known.seen_at > idle_s + IDLE_MARGIN_S
+            for flow, tracked in self._flows.items()
+            if now - tracked.seen_at > idle_s + IDLE_MARGIN_S
         ]
         for flow in stale:
             self.forget(flow)
-        for remembered in (self._ended, self._denied):
+        for remembered in (self._ended, self._not_held):
             while remembered:
                 flow, since = next(iter(remembered.items()))
                 if now - since < ENDED_S:
@@ -362,27 +368,27 @@
                 del remembered[flow]
         held = itertools.chain(self._flows, self._ended)
         self._addresses = {flows.service_of(flow) for flow in held}
-        while self._unanswered:
-            flow, opening = next(iter(self._unanswered.items()))
+        while self._unanswered_openings:
+            flow, opening = next(iter(self._unanswered_openings.items()))
             if now - opening.at < ATTEMPT_S:
                 break
-            del self._unanswered[flow]
+            del self._unanswered_openings[flow]
 
-    def _settle(self, now: float) -> None:
+    def _update_mean(self, now: float) -> None:
         """Let the mean follow the present number up to now."""
-        share = min(1.0, (now - self._mean_at) / MEAN_S)
-        self._mean += (self._asked - self._mean) * share
-        self._mean_at = now
+        share = min(1.0, (now - self._mean_updated_at) / MEAN_S)
+        self._mean_requests += (self._asked - self._mean_requests) * share
+        self._mean_updated_at = now
 
     def load(self, slots: int, now: float) -> load.Load:
         """Return the load for a report.
 
         :param slots: requests that the server runs at once.
         """
-        self._settle(now)
+        self._update_mean(now)
         opening = sum(
             1
-            for item in self._unanswered.values()
+            for item in self._unanswered_openings.values()
             if now - item.at < OPENING_S
         )
         present = self._asked + opening
@@ -392,6 +398,6 @@
             present - running,
             slots,
             len(self._flows),
-            round(self._mean, 3),
+            round(self._mean_requests, 3),
             self.responsive(now),
         )
--- a/tests/packets/test_dispatching.py
+++ b/tests/packets/test_dispatching.py
@@ -180,7 +180,7 @@
         flow = b'waiting%d' % number
         queue.offer(flow, FEED, slots=SLOTS, since=0.0, now=0.0)
     assert queue.waiting == dispatching.REQUESTS_HELD
-    kept = [queue.hold(b'waiting0', b'') for _ in range(40)]
+    kept = [queue.add_packet(b'waiting0', b'') for _ in range(40)]
     assert kept.count(True) == dispatching.PACKETS_HELD
 
 
--- a/tests/packets/test_relaying.py
+++ b/tests/packets/test_relaying.py
@@ -15,7 +15,7 @@
 
 FLOW = bytes(range(12))
 HOSTS = ['10.0.1.1', '10.0.1.2', '10.0.1.3']
-ASKER = '10.0.0.1'
+REQUESTER = '10.0.0.1'
 LAYOUT = 17
 TAG = control.service_tag('dispatch')
 
@@ -38,20 +38,20 @@
         return found
 
 
-def begun() -> tuple[relaying.Relay, Outlet]:
+def start_relay() -> tuple[relaying.Relay, Outlet]:
     """Return a relay that has just begun an errand at time 0."""
     outlet = Outlet()
     relay = relaying.Relay(outlet.send, reporting.Meters())
     raw = packet_codec.made(FLOW, length=1).raw
     sent = control.unpack(control.pack_errand(control.Errand(HOSTS, raw)))
-    relay.begin(control.read_errand(sent), FLOW, ASKER, 0.0)
+    relay.begin(control.read_errand(sent), FLOW, REQUESTER, 0.0)
     return relay, outlet
 
 
-def answer(holding: searching.Holding) -> control.Envelope:
+def answer(result: searching.LocateResult) -> control.Envelope:
     """Return an agent's answer."""
     located = control.Located(FLOW, LAYOUT)
-    return control.unpack(control.pack_located(holding, TAG, located))
+    return control.unpack(control.pack_located(result, TAG, located))
 
 
 def outcomes(outlet: Outlet) -> list[tuple[int, list[str]]]:
@@ -59,7 +59,7 @@
     return [
         (item.detail, control.read_outcome(item.body).hosts)
         for host, item in outlet.take(control.KIND_RELAYED)
-        if host == ASKER
+        if host == REQUESTER
     ]
 
 
@@ -79,28 +79,28 @@
 
 def test_denials_are_told_together() -> None:
     """All hosts are asked at once; one datagram tells that nobody holds it."""
-    relay, outlet = begun()
+    relay, outlet = start_relay()
     asked = [host for host, _ in outlet.take(control.KIND_LOCATE)]
     assert asked == HOSTS
     for host in HOSTS:
-        relay.on_located(answer(searching.Holding.NOT_HELD), host)
-    assert outcomes(outlet) == [(searching.Holding.NOT_HELD, HOSTS)]
+        relay.on_located(answer(searching.LocateResult.NOT_HELD), host)
+    assert outcomes(outlet) == [(searching.LocateResult.NOT_HELD, HOSTS)]
 
 
 def test_the_holder_is_told_at_once() -> None:
     """Nobody is asked any more when the flow is found."""
-    relay, outlet = begun()
+    relay, outlet = start_relay()
     outlet.sent.clear()
-    relay.on_located(answer(searching.Holding.HELD), HOSTS[1])
-    assert outcomes(outlet) == [(searching.Holding.HELD, [HOSTS[1]])]
+    relay.on_located(answer(searching.LocateResult.HELD), HOSTS[1])
+    assert outcomes(outlet) == [(searching.LocateResult.HELD, [HOSTS[1]])]
     relay.tick(1.0)
     assert not outlet.sent
 
 
 def test_an_agent_that_is_unsure_gets_the_packet() -> None:
     """The packet lets its server show whether it holds the flow."""
-    relay, outlet = begun()
-    relay.on_located(answer(searching.Holding.UNSURE), HOSTS[0])
+    relay, outlet = start_relay()
+    relay.on_located(answer(searching.LocateResult.UNSURE), HOSTS[0])
     [(host, probe)] = outlet.take(control.KIND_PROBE)
     assert host == HOSTS[0]
     assert packet_codec.read(probe.body).flow == FLOW
@@ -114,17 +114,17 @@
     Cause: the relay told nothing before all had answered, and the balancer
     gave the whole list to the next relay.
     """
-    relay, outlet = begun()
-    relay.on_located(answer(searching.Holding.NOT_HELD), HOSTS[0])
+    relay, outlet = start_relay()
+    relay.on_located(answer(searching.LocateResult.NOT_HELD), HOSTS[0])
     relay.tick(relaying.PARTIAL_S + 0.01)
-    assert outcomes(outlet) == [(searching.Holding.NOT_HELD, HOSTS[:1])]
-    relay.on_located(answer(searching.Holding.NOT_HELD), HOSTS[1])
-    assert outcomes(outlet) == [(searching.Holding.NOT_HELD, [HOSTS[1]])]
+    assert outcomes(outlet) == [(searching.LocateResult.NOT_HELD, HOSTS[:1])]
+    relay.on_located(answer(searching.LocateResult.NOT_HELD), HOSTS[1])
+    assert outcomes(outlet) == [(searching.LocateResult.NOT_HELD, [HOSTS[1]])]
     relay.tick(relaying.ASK_AGAIN_S)
     asked = [host for host, _ in outlet.take(control.KIND_LOCATE)]
     assert asked == [HOSTS[2]]
     relay.tick(relaying.FORGET_S + 0.1)
-    relay.on_located(answer(searching.Holding.NOT_HELD), HOSTS[2])
+    relay.on_located(answer(searching.LocateResult.NOT_HELD), HOSTS[2])
     assert not outlet.sent
 
 
@@ -134,10 +134,10 @@
     relay = relaying.Relay(outlet.send, reporting.Meters())
     for number in range(relaying.ERRANDS_KEPT + 1):
         errand = control.Errand(HOSTS[:1], b'raw')
-        relay.begin(errand, number.to_bytes(12), ASKER, 0.0)
+        relay.begin(errand, number.to_bytes(12), REQUESTER, 0.0)
     outlet.sent.clear()
     located = control.Located(bytes(12), LAYOUT)
-    packed = control.pack_located(searching.Holding.HELD, TAG, located)
+    packed = control.pack_located(searching.LocateResult.HELD, TAG, located)
     relay.on_located(control.unpack(packed), HOSTS[0])
     assert not outlet.sent
 
--- a/tests/packets/test_searching.py
+++ b/tests/packets/test_searching.py
@@ -33,28 +33,28 @@
     Relays begin when all four have answered, or after 20 ms.
     """
     search = searching.Search(HOSTS, 0.0)
-    assert search.due() == HOSTS[:4]
+    assert search.hosts_to_ask() == HOSTS[:4]
     for host in HOSTS[:4]:
         search.asked(host)
-    assert not search.due()
-    assert not search.due_for_relays(0.001)
+    assert not search.hosts_to_ask()
+    assert not search.hosts_for_relays(0.001)
     for host in HOSTS[:3]:
-        search.deny(host)
-    search.doubt(HOSTS[3])
-    assert search.due_for_relays(0.002) == HOSTS[3:]
+        search.note_denial(host)
+    search.note_unsure(HOSTS[3])
+    assert search.hosts_for_relays(0.002) == HOSTS[3:]
     silent = searching.Search(HOSTS, 0.0)
-    assert not silent.due_for_relays(0.019)
-    assert silent.due_for_relays(0.02) == HOSTS
+    assert not silent.hosts_for_relays(0.019)
+    assert silent.hosts_for_relays(0.02) == HOSTS
 
 
 def test_silence_is_no_denial() -> None:
     """A search is over when everybody has said no, not before."""
     search = searching.Search(HOSTS[:3], 0.0)
-    search.deny(HOSTS[0])
-    search.deny(HOSTS[1])
-    assert not search.over
-    search.deny(HOSTS[2])
-    assert search.over
+    search.note_denial(HOSTS[0])
+    search.note_denial(HOSTS[1])
+    assert not search.all_denied
+    search.note_denial(HOSTS[2])
+    assert search.all_denied
 
 
 def test_the_silent_are_asked_ever_more_seldom() -> None:
@@ -69,10 +69,10 @@
     asked = 0
     for tick in range(100):
         now = tick * 0.05
-        for host in search.due():
+        for host in search.hosts_to_ask():
             search.asked(host)
             asked += 1
-        if search.due_for_relays(now):
+        if search.hosts_for_relays(now):
             search.relayed(now)
             asked += 2
     # Four hosts, and two relays for 45 hosts eight times in five seconds.
@@ -82,12 +82,12 @@
 def test_packets_are_bounded_and_the_shortest_asks() -> None:
     """Repetitions are kept once, and sixteen packets at most."""
     search = searching.Search(HOSTS, 0.0)
-    search.keep(made(1, length=1200))
-    search.keep(made(2, length=80))
-    search.keep(made(2, length=80))
+    search.add_packet(made(1, length=1200))
+    search.add_packet(made(2, length=80))
+    search.add_packet(made(2, length=80))
     assert search.probe.length == 80
     for number in range(40):
-        search.keep(made(number, length=90))
+        search.add_packet(made(number, length=90))
     assert len(search.take_packets()) == searching.PACKETS_KEPT
     assert search.probe is None
 
--- a/tests/packets/test_tracking.py
+++ b/tests/packets/test_tracking.py
@@ -120,10 +120,16 @@
     """Only the number of this server's acceptance is taken for a proof."""
     tracker = tracking.Tracker(0.0)
     tracker.from_caller(made(opening=True), 0.0)
-    assert not tracker.accepted(made(acknowledged=1, length=9))
+    assert not tracker.acknowledges_acceptance(made(acknowledged=1, length=9))
     tracker.from_server(made(accepting=True, sequence=70_000), 0.0)
-    assert tracker.accepted(made(acknowledged=70_000, length=9))
-    assert tracker.accepted(made(acknowledged=70_001, length=9))
-    assert not tracker.accepted(made(acknowledged=69_999, length=9))
-    assert not tracker.accepted(made(acknowledged=90_000, length=9))
-    assert not tracker.accepted(made(acknowledged=70_000, resetting=True))
+    assert tracker.acknowledges_acceptance(made(acknowledged=70_000, length=9))
+    assert tracker.acknowledges_acceptance(made(acknowledged=70_001, length=9))
+    assert not tracker.acknowledges_acceptance(
+        made(acknowledged=69_999, length=9)
+    )
+    assert not tracker.acknowledges_acceptance(
+        made(acknowledged=90_000, length=9)
+    )
+    assert not tracker.acknowledges_acceptance(
+        made(acknowledged=70_000, resetting=True)
+    )
