--- a/bench/fake_codec.py
+++ b/bench/fake_codec.py
@@ -37,12 +37,12 @@
 class FakeCodec(base.Codec):
     """Carry the same facts as CoAP, at a fraction of the time."""
 
-    def read_caller(self, payload: bytes) -> base.Request | base.Control:
+    def read_caller(self, payload: bytes) -> base.Request | base.AckOrReset:
         """Read a request or a control datagram."""
         try:
             kind, *fields = msgspec.msgpack.decode(payload)
             if kind == CONTROL:
-                return base.Control(*fields)
+                return base.AckOrReset(*fields)
             mid, token, method, segment, echo, observe, deadline, _ = fields
         except (msgspec.DecodeError, ValueError, TypeError) as error:
             raise exceptions.MessageError(
--- a/bench/path.py
+++ b/bench/path.py
@@ -290,7 +290,7 @@
         ],
         'leaving': [],
     }
-    return merge.join([register], [rules])
+    return merge.inventory_from_parts([register], [rules])
 
 
 def table_times() -> dict[str, float]:
--- a/bench/world.py
+++ b/bench/world.py
@@ -424,7 +424,7 @@
         if not peer.alive or self.now < peer.paused_until:
             return
         held = self.processes[name].node.config.held()
-        documents = peer.node.config.lacking(held)
+        documents = peer.node.config.documents_missing_from(held)
         window = int(self.now / CONTROL_WINDOW_S)
         peer.control[window] += _answer_bytes(documents)
         self.schedule(
@@ -460,7 +460,9 @@
         route = node.router.route(flow_key)
         if route is None:
             return
-        service = node.view.table.at(flow.service_of(flow_key))
+        service = node.view.table.service_at(
+            flow.packed_service_endpoint(flow_key)
+        )
         packet = proxy_header.Packet(
             flow_key,
             service.number,
--- a/packages/teaseldock-edge/teaseldock_edge/command_line.py
+++ b/packages/teaseldock-edge/teaseldock_edge/command_line.py
@@ -92,7 +92,9 @@
         _endpoint('<caller>', arguments['<caller>']),
         _endpoint('<service>', arguments['<service>']),
     )
-    service = table.Table(contents).at(flow.service_of(key))
+    service = table.Table(contents).service_at(
+        flow.packed_service_endpoint(key)
+    )
     if service is None:
         return {'revision': 0, 'service': None}
     bucket = flow.bucket_of(key, key=hash_key)
--- a/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
@@ -106,8 +106,8 @@
 
     def answer(self, asked: messages.Documents) -> bytes:
         """Return the documents that an asker lacks, sealed."""
-        held = node.parse_stored(asked.documents)
-        return self._pack(self._node.config.lacking(held))
+        held = node.documents_from_message(asked.documents)
+        return self._pack(self._node.config.documents_missing_from(held))
 
     def count_sent(self, size: int) -> None:
         """Count bytes as they go out, compressed or not."""
@@ -143,4 +143,4 @@
         size = int(answer.headers.get('Content-Length', len(answer.body)))
         self._count('received', message, size)
         if isinstance(message, messages.Documents):
-            self._offer(node.parse_stored(message.documents))
+            self._offer(node.documents_from_message(message.documents))
--- a/packages/teaseldock-edge/teaseldock_edge/program.py
+++ b/packages/teaseldock-edge/teaseldock_edge/program.py
@@ -169,13 +169,13 @@
             LOG.exception('a tick failed; counted from now on', error=error)
 
     def _greet(self, now: float) -> None:
-        if self._node.members.fresh or now - self._greeted_at < GREET_S:
+        if self._node.members.synchronised or now - self._greeted_at < GREET_S:
             return
         self._greeted_at = now
-        self.perform(self._node.introduce(self._values['peers'], now))
+        self.perform(self._node.ping_addresses(self._values['peers'], now))
 
     def _log_changes(self) -> None:
-        self._node.note_members(time.time())
+        self._node.audit_membership_changes(time.time())
         for record in self._node.trail.drain():
             LOG.info('change', **record._asdict())
 
--- a/packages/teaseldock/teaseldock/agent.py
+++ b/packages/teaseldock/teaseldock/agent.py
@@ -149,7 +149,9 @@
         if item is None:
             self._shared.counters['dropped_no_such_target'] += 1
             return []
-        named = self._view.table.at(packet.flow[4:8] + packet.flow[10:12])
+        named = self._view.table.service_at(
+            packet.flow[4:8] + packet.flow[10:12]
+        )
         if named is None or named.name != item.service.name:
             self._shared.counters['dropped_wrong_service'] += 1
             return []
@@ -162,9 +164,9 @@
         """Handle a message of another process."""
         sender = getattr(message, 'sender', None)
         if isinstance(sender, str):
-            self._members.roster.heard_from(sender, now)
+            self._members.roster.mark_heard(sender, now)
         if isinstance(message, messages.Loads):
-            self._members.roster.heard_alive(
+            self._members.roster.update_incarnation(
                 message.sender, message.incarnation, now
             )
             self._take_loads(message, now)
--- a/packages/teaseldock/teaseldock/announcer.py
+++ b/packages/teaseldock/teaseldock/announcer.py
@@ -19,12 +19,12 @@
 MESSAGE_BYTES = 200
 FLOW_BYTES = 16
 #: Seconds until a batch without acknowledgement is sent again.
-REPEAT_S = 0.6
+RETRANSMIT_S = 0.6
 #: Seconds after a change in which other agents may still have the old view.
-LATE_VIEW_S = 5.0
+STALE_VIEW_S = 5.0
 
 
-class Owner(typing.NamedTuple):
+class OwnerId(typing.NamedTuple):
     """Who owns a bucket; one that started again knows nothing any more."""
 
     name: str
@@ -32,7 +32,7 @@
 
 
 class _Batch(typing.NamedTuple):
-    owner: Owner
+    owner: OwnerId
     flows: list[bytes]
     repeat_at: float
 
@@ -50,8 +50,8 @@
         self._shared = shared
         self._service = service
         self._holder = held
-        self._owners: list[Owner | None] = [None] * flows.BUCKET_COUNT
-        self._queues: dict[Owner, collections.deque[bytes]] = {}
+        self._owners: list[OwnerId | None] = [None] * flows.BUCKET_COUNT
+        self._queues: dict[OwnerId, collections.deque[bytes]] = {}
         self._batches: dict[int, _Batch] = {}
         self._changed_at = 0.0
         self._taken_over: set[bytes] = set()
@@ -85,19 +85,19 @@
             if bucket in changed:
                 self._queues[owners[bucket]].append(flow)
 
-    def _owner_of(self, bucket: int) -> Owner | None:
+    def _owner_of(self, bucket: int) -> OwnerId | None:
         name = self._shared.view.owner(self._service, bucket)
         if name is None or name == self._shared.name:
             return None
-        return Owner(name, self._shared.view.incarnation(name))
+        return OwnerId(name, self._shared.view.incarnation(name))
 
-    def adopted(self, flow: bytes, now: float) -> None:
+    def announce_adopted(self, flow: bytes, now: float) -> None:
         """Announce one flow that another agent has just placed here.
 
         Its placing agent may be a bucket's former owner whose view is late;
         the new owner has then been told "complete" too early.
         """
-        if now - self._changed_at < LATE_VIEW_S:
+        if now - self._changed_at < STALE_VIEW_S:
             self.announce(flow)
 
     def announce(self, flow: bytes) -> None:
@@ -107,7 +107,7 @@
             queue = self._queues.setdefault(owner, collections.deque())
             queue.append(flow)
 
-    def taken_over(self, flow: bytes) -> None:
+    def announce_taken_over(self, flow: bytes) -> None:
         """Announce a flow that its former holder has given to this one.
 
         The owner's entry still names the former holder, and would stand
@@ -122,21 +122,21 @@
         for number, batch in list(self._batches.items()):
             if now >= batch.repeat_at and self._shared.budget.has_room(now):
                 del self._batches[number]
-                actions += self._repeat(batch, now)
+                actions += self._retransmit(batch, now)
         for owner in list(self._queues):
             if not self._shared.budget.has_room(now):
                 break
             actions += self._send_next(owner, now)
         return actions
 
-    def _repeat(self, batch: _Batch, now: float) -> list[messages.Action]:
+    def _retransmit(self, batch: _Batch, now: float) -> list[messages.Action]:
         if batch.owner not in self._owners:
             return []
         queue = self._queues.setdefault(batch.owner, collections.deque())
         queue.extendleft(batch.flows)
         return self._send_next(batch.owner, now)
 
-    def _send_next(self, owner: Owner, now: float) -> list[messages.Action]:
+    def _send_next(self, owner: OwnerId, now: float) -> list[messages.Action]:
         queue = self._queues[owner]
         chosen: list[bytes] = []
         while queue and len(chosen) < FLOWS_PER_BATCH:
@@ -153,11 +153,11 @@
         complete = b''
         if not queue:
             del self._queues[owner]
-            complete = self._complete(owner)
+            complete = self._complete_buckets(owner)
         if not chosen and not any(complete):
             return []
         number = next(self._shared.calls)
-        self._batches[number] = _Batch(owner, chosen, now + REPEAT_S)
+        self._batches[number] = _Batch(owner, chosen, now + RETRANSMIT_S)
         size = MESSAGE_BYTES + FLOW_BYTES * len(chosen)
         self._shared.budget.spend(size)
         message = messages.Announce(
@@ -170,7 +170,7 @@
         )
         return self._shared.view.to_peer(owner.name, message)
 
-    def _complete(self, owner: Owner) -> bytes:
+    def _complete_buckets(self, owner: OwnerId) -> bytes:
         """Return the buckets of which an owner has been told everything.
 
         Batches on the way may be lost; while there are any, their repeats
--- a/packages/teaseldock/teaseldock/budget.py
+++ b/packages/teaseldock/teaseldock/budget.py
@@ -27,17 +27,17 @@
         self._rate = bytes_per_s
         self._burst = burst_bytes
         self._tokens = burst_bytes
-        self._earned_at: float | None = None
+        self._refilled_at: float | None = None
 
     def has_room(self, now: float) -> bool:
         """Tell whether something may be sent now.
 
         :param now: seconds on a clock that never goes back.
         """
-        if self._earned_at is not None:
-            earned = (now - self._earned_at) * self._rate
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * self._rate
             self._tokens = min(self._burst, self._tokens + earned)
-        self._earned_at = now
+        self._refilled_at = now
         return self._tokens > 0
 
     def spend(self, size: float) -> None:
--- a/packages/teaseldock/teaseldock/codecs/base.py
+++ b/packages/teaseldock/teaseldock/codecs/base.py
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class Control(typing.NamedTuple):
+class AckOrReset(typing.NamedTuple):
     """A caller's datagram that is no request.
 
     :ivar message_id: identifier of the datagram that it answers.
@@ -73,7 +73,7 @@
     """Translate datagrams; pure functions, without state of any flow."""
 
     @abc.abstractmethod
-    def read_caller(self, payload: bytes) -> Request | Control:
+    def read_caller(self, payload: bytes) -> Request | AckOrReset:
         """Read a caller's datagram.
 
         :raises MessageError: if it can't be read.
--- a/packages/teaseldock/teaseldock/codecs/coap.py
+++ b/packages/teaseldock/teaseldock/codecs/coap.py
@@ -21,7 +21,7 @@
 IDEMPOTENT_METHODS = frozenset({'GET', 'PUT', 'DELETE', 'FETCH', 'IPATCH'})
 _DEADLINE_QUERY = 'deadline_ms='
 _CALL_BYTES = 8
-_MESSAGE_IDS = 1 << 16
+_MESSAGE_ID_COUNT = 1 << 16
 _TEXT = contentformat.ContentFormat.TEXT
 
 
@@ -29,13 +29,13 @@
     try:
         return aiocoap.Message.decode(payload)
     except (coap_error.UnparsableMessage, ValueError, IndexError) as error:
-        raise _unreadable(repr(error)) from error
+        raise _message_error(repr(error)) from error
     except Exception as error:
         # Options with broken contents raise errors of many other kinds.
-        raise _unreadable(repr(error)) from error
+        raise _message_error(repr(error)) from error
 
 
-def _unreadable(problem: str) -> exceptions.MessageError:
+def _message_error(problem: str) -> exceptions.MessageError:
     return exceptions.MessageError(
         'CoAP', problem, remedy='send a message as in RFC 7252'
     )
@@ -72,16 +72,16 @@
 
     def __init__(self) -> None:
         """Keep nothing yet."""
-        self._last: tuple[bytes, aiocoap.Message] | None = None
+        self._last_read: tuple[bytes, aiocoap.Message] | None = None
 
     def _read(self, payload: bytes) -> aiocoap.Message:
         message = _decode(payload)
-        self._last = (payload, message)
+        self._last_read = (payload, message)
         return message
 
-    def _to_send(self, payload: bytes) -> aiocoap.Message:
+    def _outgoing_message(self, payload: bytes) -> aiocoap.Message:
         """Return a received message as one that may be changed and sent."""
-        last, self._last = self._last, None
+        last, self._last_read = self._last_read, None
         if last is not None and last[0] is payload:
             message = last[1]
         else:
@@ -89,13 +89,13 @@
         message.direction = aiocoap.message.Direction.OUTGOING
         return message
 
-    def read_caller(self, payload: bytes) -> base.Request | base.Control:
+    def read_caller(self, payload: bytes) -> base.Request | base.AckOrReset:
         """Read a request, an acknowledgement or a reset."""
         message = self._read(payload)
         if message.mtype in (aiocoap.ACK, aiocoap.RST):
-            return base.Control(message.mid, message.mtype == aiocoap.RST)
+            return base.AckOrReset(message.mid, message.mtype == aiocoap.RST)
         if not message.code.is_request():
-            raise _unreadable(f'code {message.code} from a caller')
+            raise _message_error(f'code {message.code} from a caller')
         path = message.opt.uri_path
         method = message.code.name
         return base.Request(
@@ -123,22 +123,22 @@
         5.00 or as an answer to the wrong scan; a Request-Tag of the flow
         keeps them apart (RFC 9175 section 3).
         """
-        message = self._to_send(body)
+        message = self._outgoing_message(body)
         message.opt.echo = None
         if message.opt.block1 is not None:
             tags = b''.join(message.opt.request_tag or ())
             message.opt.request_tag = [_request_tag(flow, tags)]
-        return self._numbered(message, call)
+        return self._encode_for_server(message, call)
 
     def cancel_feed(self, body: bytes, *, call: int) -> bytes:
         """Return the registration again, with Observe 1."""
-        message = self._to_send(body)
+        message = self._outgoing_message(body)
         message.opt.observe = 1
-        return self._numbered(message, call)
+        return self._encode_for_server(message, call)
 
-    def _numbered(self, message: aiocoap.Message, call: int) -> bytes:
+    def _encode_for_server(self, message: aiocoap.Message, call: int) -> bytes:
         message.mtype = aiocoap.NON
-        message.mid = call % _MESSAGE_IDS
+        message.mid = call % _MESSAGE_ID_COUNT
         message.token = call.to_bytes(_CALL_BYTES, 'big')
         return message.encode()
 
@@ -169,7 +169,7 @@
         self, request: base.Request, body: bytes, *, sequence: int | None
     ) -> bytes:
         """Return the server's answer under the caller's token."""
-        message = self._to_send(body)
+        message = self._outgoing_message(body)
         message.opt.observe = sequence
         return _reply_to(request, message)
 
@@ -182,10 +182,10 @@
         message_id: int,
     ) -> bytes:
         """Return a notification; the next one makes up for a lost one."""
-        message = self._to_send(body)
+        message = self._outgoing_message(body)
         message.opt.observe = sequence
         message.mtype = aiocoap.NON
-        message.mid = message_id % _MESSAGE_IDS
+        message.mid = message_id % _MESSAGE_ID_COUNT
         message.token = request.token
         return message.encode()
 
--- a/packages/teaseldock/teaseldock/configuration.py
+++ b/packages/teaseldock/teaseldock/configuration.py
@@ -12,7 +12,7 @@
 
 REGISTER_PREFIX = 'register'
 RULES_PREFIX = 'rules'
-_CHECKSUMS = 1 << 56
+_CHECKSUM_MODULUS = 1 << 56
 
 
 class Document(typing.NamedTuple):
@@ -53,7 +53,7 @@
     return int.from_bytes(digest.digest(), 'big')
 
 
-def _kind_of(key: str) -> type:
+def _document_type(key: str) -> type:
     head = key.split('.', 1)[0]
     if head == REGISTER_PREFIX:
         return inventory.Register
@@ -86,7 +86,7 @@
         self._inventory = inventory.EMPTY_INVENTORY
         self._digest = Digest(0, 0)
         self._checksum = 0
-        self._older: dict[str, int] = {}
+        self._audited_older: dict[str, int] = {}
         self._alarms = 0
         self._refused = 0
 
@@ -129,7 +129,9 @@
             for item in self.documents()
         ]
 
-    def lacking(self, held: typing.Iterable[Document]) -> list[Document]:
+    def documents_missing_from(
+        self, held: typing.Iterable[Document]
+    ) -> list[Document]:
         """Return the documents that a peer lacks.
 
         :param held: as the peer's :meth:`held` returns it.
@@ -162,14 +164,14 @@
         :param now: wall-clock seconds since 1970, for the audit trail.
         :returns: whether the inventory in force changed.
         """
-        fresh = [item for item in documents if self._is_news(item, now)]
+        fresh = [item for item in documents if self._supersedes(item, now)]
         if not fresh:
             return False
         for document in fresh:
             self._replace(document)
         changed = self._apply(fresh, now)
         for document in fresh:
-            self._forget_parsed(document.key)
+            self._evict_parsed(document.key)
         self._digest = Digest(
             max(item.revision for item in self._latest.values()),
             self._checksum,
@@ -187,14 +189,14 @@
             self._checksum -= _fingerprint(former)
         self._latest[document.key] = document
         self._checksum += _fingerprint(document)
-        self._checksum %= _CHECKSUMS
+        self._checksum %= _CHECKSUM_MODULUS
 
-    def _is_news(self, document: Document, now: float) -> bool:
+    def _supersedes(self, document: Document, now: float) -> bool:
         held = self._latest.get(document.key)
         if held is None or document.revision > held.revision:
             return True
         if document.revision < held.revision:
-            self._note_older(document, held, now)
+            self._audit_older(document, held, now)
             return False
         if document.content == held.content:
             return False
@@ -215,30 +217,30 @@
         )
         return document.content > held.content
 
-    def _note_older(
+    def _audit_older(
         self, document: Document, held: Document, now: float
     ) -> None:
         """Audit an older revision, once for each: a stale replica repeats."""
-        if self._older.get(document.key) == document.revision:
+        if self._audited_older.get(document.key) == document.revision:
             return
-        self._older[document.key] = document.revision
+        self._audited_older[document.key] = document.revision
         error = exceptions.RevisionError(
             document.key,
             f'revision {document.revision} is older than {held.revision}',
             remedy='to go back, publish the old text again',
         )
-        self._refuse(document, error, now)
+        self._record_refusal(document, error, now)
 
     def _parse(self, document: Document) -> typing.Any:
         of_key = self._parsed.setdefault(document.key, {})
         identity = (document.revision, document.content)
         if identity not in of_key:
             of_key[identity] = inventory.parse(
-                document.key, document.content, _kind_of(document.key)
+                document.key, document.content, _document_type(document.key)
             )
         return of_key[identity]
 
-    def _forget_parsed(self, key: str) -> None:
+    def _evict_parsed(self, key: str) -> None:
         """Keep the parsed form of what is held under a key, and no other.
 
         Each change would otherwise leave its predecessor in memory; at
@@ -257,13 +259,13 @@
         parts = inventory.Parts([], [])
         for document in documents:
             parsed = self._parse(document)
-            if _kind_of(document.key) is inventory.Register:
+            if _document_type(document.key) is inventory.Register:
                 parts.registers.append(parsed)
             else:
                 parts.rules.append(parsed)
         return parts
 
-    def revised(
+    def preview(
         self, documents: typing.Iterable[Document]
     ) -> inventory.Inventory:
         """Return the inventory that documents would make, if put in force.
@@ -277,7 +279,7 @@
             for item in documents
             if item.key in self._in_force
         ]
-        return merge.revise(
+        return merge.replace_parts(
             self._inventory, self._parts(replaced), self._parts(documents)
         )
 
@@ -294,29 +296,29 @@
             for key, document in self._latest.items()
             if self._in_force.get(key) != document
         }
-        tried = self._try(waiting.values())
+        tried = self._try_preview(waiting.values())
         if isinstance(tried, inventory.Inventory):
-            self._accept(waiting, tried, now)
+            self._put_in_force(waiting, tried, now)
             return True
         changed = False
         for document in sorted(waiting.values(), key=lambda d: d.revision):
-            tried = self._try([document])
+            tried = self._try_preview([document])
             if isinstance(tried, inventory.Inventory):
-                self._accept({document.key: document}, tried, now)
+                self._put_in_force({document.key: document}, tried, now)
                 changed = True
             elif document in fresh:
-                self._refuse(document, tried, now)
+                self._record_refusal(document, tried, now)
         return changed
 
-    def _try(
+    def _try_preview(
         self, documents: typing.Iterable[Document]
     ) -> inventory.Inventory | exceptions.TeaseldockError:
         try:
-            return self.revised(documents)
+            return self.preview(documents)
         except exceptions.TeaseldockError as error:
             return error
 
-    def _accept(
+    def _put_in_force(
         self,
         documents: dict[str, Document],
         joined: inventory.Inventory,
@@ -327,7 +329,7 @@
             self._in_force[key] for key in documents if key in self._in_force
         ]
         touched.extend(documents.values())
-        names = merge.names_of(self._parts(touched))
+        names = merge.entry_names(self._parts(touched))
         self._in_force.update(documents)
         self._inventory = joined
         detail = merge.describe(before, joined, names)
@@ -343,7 +345,7 @@
                 )
             )
 
-    def _refuse(
+    def _record_refusal(
         self,
         document: Document,
         error: exceptions.TeaseldockError,
@@ -369,4 +371,4 @@
     :raises InventoryError: if the documents do not fit together.
     """
     configuration = Configuration(trail=audit.AuditTrail(length=1))
-    return configuration.revised(documents)
+    return configuration.preview(documents)
--- a/packages/teaseldock/teaseldock/directory.py
+++ b/packages/teaseldock/teaseldock/directory.py
@@ -12,15 +12,15 @@
 SEARCH_WINDOW_S = 10.0
 #: Seconds for which a peer's word about a bucket that is not yet owned here
 #: is kept; its view may be ahead of this agent's.
-EARLY_WORD_S = 5.0
+EARLY_CONFIRMATION_S = 5.0
 #: Seconds between two rounds of asking.
 SEARCH_REPEAT_S = 0.15
 #: Rounds of asking before the silent ones are taken as not holding.
 SEARCH_ROUNDS = 4
 #: Packets of one flow kept while it is searched for.
-PACKETS_PER_SEARCH = 4
+MAX_PACKETS_PER_SEARCH = 4
 #: Flows searched for at once; beyond it packets are dropped and counted.
-SEARCHES_AT_ONCE = 4096
+MAX_SEARCHES = 4096
 
 
 class Search:
@@ -42,7 +42,7 @@
         self.repeat_at = repeat_at
 
 
-class Window(typing.NamedTuple):
+class SearchWindow(typing.NamedTuple):
     """Time in which the flows of a gained bucket are not all known.
 
     :ivar unconfirmed: peers that may still hold unannounced flows.
@@ -62,8 +62,8 @@
     def __init__(self, now: float) -> None:
         """Start with all buckets unowned."""
         self._holders = flow_store.FlowStore(now)
-        self._windows: dict[int, Window] = {}
-        self._early: dict[tuple[str, int], float] = {}
+        self._windows: dict[int, SearchWindow] = {}
+        self._early_confirmations: dict[tuple[str, int], float] = {}
         self._owned: set[int] = set()
         self._searches: dict[bytes, Search] = {}
 
@@ -75,7 +75,7 @@
         """Return the searches under way, by flow."""
         return self._searches
 
-    def own(
+    def set_owned(
         self, buckets: set[int], peers: typing.Iterable[str], now: float
     ) -> None:
         """Take over the set of owned buckets.
@@ -94,10 +94,15 @@
             unconfirmed = {
                 name
                 for name in peers
-                if now - self._early.get((name, bucket), -EARLY_WORD_S)
-                >= EARLY_WORD_S
+                if now
+                - self._early_confirmations.get(
+                    (name, bucket), -EARLY_CONFIRMATION_S
+                )
+                >= EARLY_CONFIRMATION_S
             }
-            self._windows[bucket] = Window(now + SEARCH_WINDOW_S, unconfirmed)
+            self._windows[bucket] = SearchWindow(
+                now + SEARCH_WINDOW_S, unconfirmed
+            )
         self._owned = buckets
 
     def confirm(
@@ -109,9 +114,9 @@
             if window is not None:
                 window.unconfirmed.discard(name)
             elif bucket not in self._owned:
-                self._early[name, bucket] = now
+                self._early_confirmations[name, bucket] = now
 
-    def to_ask(
+    def peers_to_ask(
         self, bucket: int, peers: typing.Iterable[str], now: float
     ) -> set[str]:
         """Return the peers that may hold an unknown flow of a bucket.
@@ -133,11 +138,11 @@
         """Return the instance that holds a flow, as far as is known."""
         return self._holders.get(flow)
 
-    def learn(self, flow: bytes, holder: str) -> None:
+    def set_holder(self, flow: bytes, holder: str) -> None:
         """Note the holder of a flow."""
         self._holders.put(flow, holder)
 
-    def forget(self, flow: bytes) -> None:
+    def remove_holder(self, flow: bytes) -> None:
         """Remove the entry of a flow."""
         self._holders.pop(flow)
 
@@ -154,17 +159,17 @@
         """
         known = self._searches.get(packet.flow)
         if known is not None:
-            if len(known.packets) < PACKETS_PER_SEARCH:
+            if len(known.packets) < MAX_PACKETS_PER_SEARCH:
                 known.packets.append(packet)
             return None
-        if len(self._searches) >= SEARCHES_AT_ONCE:
+        if len(self._searches) >= MAX_SEARCHES:
             return None
         begun = Search(bucket, set(peers), now + SEARCH_REPEAT_S)
         begun.packets.append(packet)
         self._searches[packet.flow] = begun
         return begun
 
-    def due(self, now: float) -> list[tuple[bytes, Search]]:
+    def due_searches(self, now: float) -> list[tuple[bytes, Search]]:
         """Return the searches whose silent peers must be asked again."""
         found = []
         for flow, search in self._searches.items():
@@ -173,7 +178,7 @@
                 found.append((flow, search))
         return found
 
-    def finish(self, flow: bytes) -> list[proxy_header.Packet]:
+    def finish_search(self, flow: bytes) -> list[proxy_header.Packet]:
         """End a search and return the packets it held back."""
         search = self._searches.pop(flow, None)
         return search.packets if search else []
@@ -181,10 +186,10 @@
     def expire(self, now: float) -> None:
         """Forget idle entries and words that came too early."""
         self._holders.expire(now, lambda flow, holder: False)
-        if not self._early:
+        if not self._early_confirmations:
             return
-        self._early = {
+        self._early_confirmations = {
             key: heard_at
-            for key, heard_at in self._early.items()
-            if now - heard_at < EARLY_WORD_S
+            for key, heard_at in self._early_confirmations.items()
+            if now - heard_at < EARLY_CONFIRMATION_S
         }
--- a/packages/teaseldock/teaseldock/drain.py
+++ b/packages/teaseldock/teaseldock/drain.py
@@ -188,7 +188,7 @@
         While the process stays, repeats are sent to it by their challenge.
         Requests without a challenge may run again.
         """
-        if not self._shared.view.is_stopping:
+        if not self._shared.view.is_leaving:
             return []
         chosen: list[messages.Result] = []
         room = RESULT_BYTES
--- a/packages/teaseldock/teaseldock/flow.py
+++ b/packages/teaseldock/teaseldock/flow.py
@@ -49,7 +49,7 @@
     return source[:4] + destination[:4] + source[4:] + destination[4:]
 
 
-def service_of(flow: bytes) -> bytes:
+def packed_service_endpoint(flow: bytes) -> bytes:
     """Return the packed service endpoint within a flow key."""
     return flow[4:8] + flow[10:12]
 
@@ -85,7 +85,7 @@
     return bits.to_bytes(BUCKET_COUNT // 8, 'little')
 
 
-def read_buckets(packed: bytes) -> list[int]:
+def unpack_buckets(packed: bytes) -> list[int]:
     """Return the buckets within :func:`pack_buckets` bytes."""
     bits = int.from_bytes(packed, 'little')
     return [bucket for bucket in range(BUCKET_COUNT) if bits >> bucket & 1]
--- a/packages/teaseldock/teaseldock/holder.py
+++ b/packages/teaseldock/teaseldock/holder.py
@@ -194,7 +194,7 @@
         except exceptions.MessageError:
             self._shared.counters['unreadable_from_caller'] += 1
             return []
-        if isinstance(request, base.Control):
+        if isinstance(request, base.AckOrReset):
             return self._on_control(packet.flow, request)
         key = packet.flow + request.exchange
         proved = self._has_proved(packet.flow, request)
@@ -223,7 +223,7 @@
         )
 
     def _on_control(
-        self, flow: bytes, control: base.Control
+        self, flow: bytes, control: base.AckOrReset
     ) -> list[messages.Action]:
         if not control.reset:
             return []
--- a/packages/teaseldock/teaseldock/inventory.py
+++ b/packages/teaseldock/teaseldock/inventory.py
@@ -132,7 +132,9 @@
 NO_PARTS = Parts([], [])
 
 
-def _refuse_duplicates(pairs: list[tuple[str, object]]) -> dict[str, object]:
+def _reject_duplicate_keys(
+    pairs: list[tuple[str, object]],
+) -> dict[str, object]:
     seen: dict[str, object] = {}
     for name, value in pairs:
         # A JSON reader silently keeps the last of two equal keys, so an
@@ -159,7 +161,7 @@
             remedy='divide the document into parts',
         )
     try:
-        value = json.loads(raw, object_pairs_hook=_refuse_duplicates)
+        value = json.loads(raw, object_pairs_hook=_reject_duplicate_keys)
     except ValueError as error:
         raise exceptions.DocumentError(
             place,
--- a/packages/teaseldock/teaseldock/load.py
+++ b/packages/teaseldock/teaseldock/load.py
@@ -9,8 +9,8 @@
 #: Bytes of one report.
 REPORT_BYTES = _LAYOUT.size
 _WORK_UNIT = 0.1
-_BYTE = 0xFF
-_SHORT = 0xFFFF
+_MAX_UINT8 = 0xFF
+_MAX_UINT16 = 0xFFFF
 
 
 class Load(typing.NamedTuple):
@@ -57,12 +57,12 @@
     """Return one report; what is too large for its field is cut."""
     return _LAYOUT.pack(
         number,
-        min(_SHORT, int(age_s * 1000)),
-        min(_BYTE, load.running),
-        min(_BYTE, load.queued),
-        min(_BYTE, load.slots),
-        min(_SHORT, load.flows),
-        min(_SHORT, round(load.work / _WORK_UNIT)),
+        min(_MAX_UINT16, int(age_s * 1000)),
+        min(_MAX_UINT8, load.running),
+        min(_MAX_UINT8, load.queued),
+        min(_MAX_UINT8, load.slots),
+        min(_MAX_UINT16, load.flows),
+        min(_MAX_UINT16, round(load.work / _WORK_UNIT)),
         load.accepting,
     )
 
--- a/packages/teaseldock/teaseldock/membership.py
+++ b/packages/teaseldock/teaseldock/membership.py
@@ -23,11 +23,11 @@
 #: Members asked to probe for another.
 INDIRECT_PROBES = 2
 #: Probes made for others that may await their answer at once.
-RELAYS_AT_ONCE = 40
+MAX_RELAYED_PROBES = 40
 #: Chance that a dead member is probed when its turn comes.
-DEAD_PROBE_CHANCE = 0.25
+DEAD_PROBE_PROBABILITY = 0.25
 #: Dead members probed at each tick once one of them was heard again.
-RETURNS_PER_TICK = 2
+RECOVERY_PROBES_PER_TICK = 2
 #: A gap between ticks beyond this is a pause of this process.
 PAUSE_S = 1.0
 
@@ -52,20 +52,20 @@
         """
         self._roster = roster.Roster(own)
         self._random = randomness
-        self._round: list[str] = []
+        self._probe_order: list[str] = []
         self._sequence = 0
         self._probe: tuple[int, str, float] | None = None
-        self._asked_others = False
+        self._indirect_probe_sent = False
         self._relayed: dict[int, tuple[int, messages.Member]] = {}
-        self._next_probe = now
+        self._next_probe_at = now
         self._last_tick = now
         # Knowing nobody is no proof of being alone: a newcomer that has not
         # read the list yet would serve rules its peers have replaced.
-        self._fresh_after = now + 2 * PROBE_INTERVAL_S
-        self._fresh = False
+        self._assume_synchronised_at = now + 2 * PROBE_INTERVAL_S
+        self._synchronised = False
         self._pauses = 0
-        self._may_be_back: list[str] = []
-        self._look_for_returns_at = now
+        self._recovery_queue: list[str] = []
+        self._next_recovery_at = now
 
     @property
     def roster(self) -> roster.Roster:
@@ -83,9 +83,9 @@
         return self._pauses
 
     @property
-    def fresh(self) -> bool:
+    def synchronised(self) -> bool:
         """Tell whether the view was refreshed since start or last pause."""
-        return self._fresh
+        return self._synchronised
 
     def tick(self, now: float, heartbeat: Heartbeat) -> list[messages.ToPeer]:
         """Probe and time out; to be called several times a second."""
@@ -93,15 +93,15 @@
         self._last_tick = now
         if gap > PAUSE_S:
             self._on_pause(now)
-        if not self._fresh and now > self._fresh_after:
+        if not self._synchronised and now > self._assume_synchronised_at:
             # Nobody answered: alone after a cut, the old view is the best.
-            self._fresh = True
+            self._synchronised = True
         actions = self._expire_probe(now, heartbeat)
-        actions += self._probe_returns(heartbeat)
-        actions += self._tell_accused(heartbeat)
+        actions += self._send_recovery_probes(heartbeat)
+        actions += self._ping_disputed(heartbeat)
         self._roster.expire_suspicions(now)
-        if now >= self._next_probe:
-            self._next_probe = now + PROBE_INTERVAL_S
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + PROBE_INTERVAL_S
             actions += self._begin_probe(now, heartbeat)
         return actions
 
@@ -109,9 +109,9 @@
         self, message: typing.NamedTuple, now: float, heartbeat: Heartbeat
     ) -> list[messages.ToPeer]:
         """Handle Ping, Ack, PingRequest or Vouch."""
-        self._note_return(message.sender.name, now)
-        self._roster.hear(message.sender, now)
-        self._roster.heard_from(message.sender.name, now)
+        self._queue_recovery_probes(message.sender.name, now)
+        self._roster.merge_member(message.sender, now)
+        self._roster.mark_heard(message.sender.name, now)
         match message:
             case messages.Ping():
                 return self._on_ping(message, now, heartbeat)
@@ -123,7 +123,7 @@
                 self._on_vouch(message, now)
         return []
 
-    def _note_return(self, name: str, now: float) -> None:
+    def _queue_recovery_probes(self, name: str, now: float) -> None:
         """Probe all dead members soon if one of them is heard.
 
         It was behind a cut, and others were with it. Probed in their turn
@@ -133,15 +133,17 @@
         member = self._roster.get(name)
         if member is None or member.health != messages.Health.DEAD:
             return
-        if now < self._look_for_returns_at:
+        if now < self._next_recovery_at:
             return
-        self._look_for_returns_at = now + PROBE_INTERVAL_S
-        self._may_be_back = sorted(self._roster.dead)
-        self._random.shuffle(self._may_be_back)
+        self._next_recovery_at = now + PROBE_INTERVAL_S
+        self._recovery_queue = sorted(self._roster.dead)
+        self._random.shuffle(self._recovery_queue)
 
-    def _probe_returns(self, heartbeat: Heartbeat) -> list[messages.ToPeer]:
-        names = self._may_be_back[:RETURNS_PER_TICK]
-        del self._may_be_back[:RETURNS_PER_TICK]
+    def _send_recovery_probes(
+        self, heartbeat: Heartbeat
+    ) -> list[messages.ToPeer]:
+        names = self._recovery_queue[:RECOVERY_PROBES_PER_TICK]
+        del self._recovery_queue[:RECOVERY_PROBES_PER_TICK]
         members = [self._roster.get(name) for name in names]
         return [
             self._ping(0, member, heartbeat)
@@ -149,9 +151,9 @@
             if member and member.health == messages.Health.DEAD
         ]
 
-    def _tell_accused(self, heartbeat: Heartbeat) -> list[messages.ToPeer]:
+    def _ping_disputed(self, heartbeat: Heartbeat) -> list[messages.ToPeer]:
         """Let members deny that they are dead before their time is up."""
-        members = map(self._roster.get, sorted(self._roster.drain_accused()))
+        members = map(self._roster.get, sorted(self._roster.drain_disputed()))
         return [self._ping(0, member, heartbeat) for member in members]
 
     def _on_pause(self, now: float) -> None:
@@ -159,11 +161,11 @@
         # guard it would declare the whole region dead on waking, which shows
         # as a burst of suspicions from one member.
         self._pauses += 1
-        self._fresh = False
-        self._fresh_after = now + 2 * PROBE_INTERVAL_S
+        self._synchronised = False
+        self._assume_synchronised_at = now + 2 * PROBE_INTERVAL_S
         self._probe = None
-        self._next_probe = now
-        self._roster.spare_suspects(now)
+        self._next_probe_at = now
+        self._roster.restart_suspicion_timers(now)
 
     def _begin_probe(
         self, now: float, heartbeat: Heartbeat
@@ -173,7 +175,7 @@
             return []
         self._sequence += 1
         self._probe = (self._sequence, subject.name, now)
-        self._asked_others = False
+        self._indirect_probe_sent = False
         return [self._ping(self._sequence, subject, heartbeat)]
 
     def _ping(
@@ -182,14 +184,14 @@
         ping = messages.Ping(
             sequence,
             self._roster.own,
-            not self._fresh,
+            not self._synchronised,
             heartbeat.generation,
             heartbeat.checksum,
             self._roster.pick_rumours(subject.name),
         )
         return messages.ToPeer(subject.host, subject.port, ping)
 
-    def greet(
+    def ping_address(
         self, address: flow.Endpoint, heartbeat: Heartbeat
     ) -> messages.ToPeer:
         """Return a heartbeat to a process whose name is not known."""
@@ -205,20 +207,20 @@
 
     def _next_subject(self) -> messages.Member | None:
         for _ in range(2):
-            while self._round:
-                member = self._roster.get(self._round.pop())
-                if member is not None and self._worth_probing(member):
+            while self._probe_order:
+                member = self._roster.get(self._probe_order.pop())
+                if member is not None and self._should_probe(member):
                     return member
-            self._round = list(self._roster)
-            self._random.shuffle(self._round)
+            self._probe_order = list(self._roster)
+            self._random.shuffle(self._probe_order)
         return None
 
-    def _worth_probing(self, member: messages.Member) -> bool:
+    def _should_probe(self, member: messages.Member) -> bool:
         if member.health != messages.Health.DEAD:
             return True
         # A dead member is still probed now and then, so that two halves of a
         # region find each other again after a partition.
-        return self._random.random() < DEAD_PROBE_CHANCE
+        return self._random.random() < DEAD_PROBE_PROBABILITY
 
     def _expire_probe(
         self, now: float, heartbeat: Heartbeat
@@ -230,13 +232,13 @@
             self._probe = None
             self._roster.suspect(name, now)
             return []
-        if now - sent_at < PROBE_TIMEOUT_S or self._asked_others:
+        if now - sent_at < PROBE_TIMEOUT_S or self._indirect_probe_sent:
             return []
-        self._asked_others = True
+        self._indirect_probe_sent = True
         request = messages.PingRequest(sequence, self._roster.own, name)
         return [
             messages.ToPeer(helper.host, helper.port, request)
-            for helper in self._pick_helpers(name)
+            for helper in self._pick_relays(name)
         ]
 
     def push(
@@ -247,17 +249,17 @@
         chosen = self._random.sample(able, min(fanout, len(able)))
         return [self._ping(0, member, heartbeat) for member in chosen]
 
-    def _pick_helpers(self, subject: str) -> list[messages.Member]:
+    def _pick_relays(self, subject: str) -> list[messages.Member]:
         able = [m for m in self._roster.alive() if m.name != subject]
         return self._random.sample(able, min(INDIRECT_PROBES, len(able)))
 
     def _on_ping(
         self, ping: messages.Ping, now: float, heartbeat: Heartbeat
     ) -> list[messages.ToPeer]:
-        self._roster.hear_rumours(ping.rumours, now)
+        self._roster.merge_rumours(ping.rumours, now)
         rumours = self._roster.pick_rumours(ping.sender.name)
         if ping.joining:
-            rumours = self._roster.unusual()
+            rumours = self._roster.leaving_or_dead()
         ack = messages.Ack(
             ping.sequence,
             self._roster.own,
@@ -268,8 +270,8 @@
         return [messages.ToPeer(ping.sender.host, ping.sender.port, ack)]
 
     def _on_ack(self, ack: messages.Ack, now: float) -> list[messages.ToPeer]:
-        self._roster.hear_rumours(ack.rumours, now)
-        self._fresh = True
+        self._roster.merge_rumours(ack.rumours, now)
+        self._synchronised = True
         if self._probe and self._probe[0] == ack.sequence:
             self._probe = None
         relayed = self._relayed.pop(ack.sequence, None)
@@ -286,7 +288,7 @@
         if subject is None or subject.name == self._roster.own.name:
             return []
         self._sequence += 1
-        if len(self._relayed) > RELAYS_AT_ONCE:
+        if len(self._relayed) > MAX_RELAYED_PROBES:
             self._relayed.pop(next(iter(self._relayed)))
         self._relayed[self._sequence] = (request.sequence, request.sender)
         return [self._ping(self._sequence, subject, heartbeat)]
--- a/packages/teaseldock/teaseldock/merge.py
+++ b/packages/teaseldock/teaseldock/merge.py
@@ -9,10 +9,10 @@
 from teaseldock import inventory
 
 #: Names in one description for each kind of change.
-DESCRIBED_NAMES = 8
+MAX_DESCRIBED_NAMES = 8
 
 
-class Names(typing.NamedTuple):
+class EntryNames(typing.NamedTuple):
     """Names of entries that a change may touch."""
 
     instances: set[str]
@@ -30,7 +30,7 @@
         ) from error
 
 
-def _twice(place: str, remedy: str) -> exceptions.InventoryError:
+def _duplicate_name(place: str, remedy: str) -> exceptions.InventoryError:
     return exceptions.InventoryError(
         place, 'the name stands twice', remedy=remedy
     )
@@ -75,7 +75,7 @@
             )
 
 
-class _Revision:
+class _InventoryUpdate:
     """Copy an inventory, take parts out and put parts in, then check.
 
     Only the entries of the parts are looked at: a change of one part among
@@ -142,14 +142,14 @@
     def _add_data_centre(self, centre: inventory.DataCentre) -> None:
         name = centre['name']
         if name in self._data_centres:
-            raise _twice(f'register/data_centres/{name}', 'keep one')
+            raise _duplicate_name(f'register/data_centres/{name}', 'keep one')
         self._data_centres[name] = centre
 
     def _add_instance(self, instance: inventory.Instance) -> None:
         name = instance['name']
         place = f'register/instances/{name}'
         if name in self._instances:
-            raise _twice(place, 'rename or remove one of the two')
+            raise _duplicate_name(place, 'rename or remove one of the two')
         slot = (instance['address'], instance['peer_port'])
         if slot in self._index.slots:
             raise exceptions.InventoryError(
@@ -166,7 +166,7 @@
         name = service['name']
         place = f'rules/services/{name}'
         if name in self._services:
-            raise _twice(place, 'rename or remove one of the two')
+            raise _duplicate_name(place, 'rename or remove one of the two')
         endpoint = (service['address'], service['port'])
         if endpoint in self._index.endpoints:
             raise exceptions.InventoryError(
@@ -182,7 +182,7 @@
             target['instance'] for target in service['targets']
         )
 
-    def finish(self) -> inventory.Inventory:
+    def build(self) -> inventory.Inventory:
         """Return the new inventory, checked.
 
         :raises InventoryError: with the place and the remedy.
@@ -213,7 +213,7 @@
                 place = f'rules/services/{name}'
                 _check_address(f'{place}/address', service['address'])
                 _check_targets(contents, service)
-        self._check_gone(contents)
+        self._check_removed_instances(contents)
         for name in contents.leaving:
             if name not in contents.instances:
                 raise exceptions.InventoryError(
@@ -222,7 +222,7 @@
                     remedy='remove the line or correct the name',
                 )
 
-    def _check_gone(self, contents: inventory.Inventory) -> None:
+    def _check_removed_instances(self, contents: inventory.Inventory) -> None:
         """Refuse to remove an instance that a service still names."""
         for name in sorted(self._touched_instances):
             if name in contents.instances or self._index.uses[name] <= 0:
@@ -234,7 +234,7 @@
             )
 
 
-def revise(
+def replace_parts(
     previous: inventory.Inventory,
     removed: inventory.Parts,
     added: inventory.Parts,
@@ -244,13 +244,13 @@
     :raises InventoryError: with the place and the remedy; nothing of the
         parts may then come into force.
     """
-    revision = _Revision(previous)
+    revision = _InventoryUpdate(previous)
     revision.remove(removed)
     revision.add(added)
-    return revision.finish()
+    return revision.build()
 
 
-def join(
+def inventory_from_parts(
     registers: typing.Iterable[inventory.Register],
     rules: typing.Iterable[inventory.Rules],
 ) -> inventory.Inventory:
@@ -259,12 +259,12 @@
     :raises InventoryError: with the place and the remedy.
     """
     added = inventory.Parts(list(registers), list(rules))
-    return revise(inventory.EMPTY_INVENTORY, inventory.NO_PARTS, added)
+    return replace_parts(inventory.EMPTY_INVENTORY, inventory.NO_PARTS, added)
 
 
-def names_of(parts: inventory.Parts) -> Names:
+def entry_names(parts: inventory.Parts) -> EntryNames:
     """Return the names of all entries in some parts."""
-    return Names(
+    return EntryNames(
         {
             item['name']
             for part in parts.registers
@@ -286,7 +286,7 @@
         elif name in before and before[name] != after[name]:
             found['~'].append(name)
     return [
-        f'{sign}{kind} {",".join(listed[:DESCRIBED_NAMES])}'
+        f'{sign}{kind} {",".join(listed[:MAX_DESCRIBED_NAMES])}'
         for sign, listed in found.items()
         if listed
     ]
@@ -295,7 +295,7 @@
 def describe(
     before: inventory.Inventory,
     after: inventory.Inventory,
-    names: Names,
+    names: EntryNames,
 ) -> str:
     """Return one line on what differs between two inventories.
 
--- a/packages/teaseldock/teaseldock/node.py
+++ b/packages/teaseldock/teaseldock/node.py
@@ -24,7 +24,7 @@
 #: Seconds between two fetches from peers.
 FETCH_INTERVAL_S = 0.2
 #: Seconds between two clean-ups of members that no list names.
-RETAIN_INTERVAL_S = 10.0
+PRUNE_INTERVAL_S = 10.0
 #: Seconds between two ticks while nothing but heartbeats is due; they keep
 #: time to a quarter of a second.
 IDLE_TICK_S = 0.25
@@ -55,11 +55,11 @@
         )
         self._view = view.View(config=self._config, members=self._members)
         self._next_fetch_at = now
-        self._next_retain_at = now
-        self._listed: set[str] = set()
-        self._highest_heard = 0
+        self._next_prune_at = now
+        self._listed_names: set[str] = set()
+        self._highest_peer_generation = 0
         self._caught_up = False
-        self._pauses_seen = 0
+        self._handled_pauses = 0
 
     @property
     def config(self) -> configuration.Configuration:
@@ -173,7 +173,7 @@
         self, listed: list[roster.ListedInstance], now: float
     ) -> list[messages.Action]:
         """Take the platform's list of live and leaving instances."""
-        self._listed = {item.name for item in listed}
+        self._listed_names = {item.name for item in listed}
         self._members.roster.seed(listed, now)
         return self._refresh(now)
 
@@ -195,16 +195,18 @@
             self._members.on_message(message, now, self.heartbeat())
         )
         if isinstance(message, (messages.Ping, messages.Ack)):
-            actions += self._compare(message, now)
+            actions += self._fetch_if_behind(message, now)
         return actions + self._refresh(now)
 
-    def _compare(
+    def _fetch_if_behind(
         self, message: messages.Ping | messages.Ack, now: float
     ) -> list[messages.Action]:
         digest = self._config.digest
         if message.generation < digest.generation:
             return []
-        self._highest_heard = max(self._highest_heard, message.generation)
+        self._highest_peer_generation = max(
+            self._highest_peer_generation, message.generation
+        )
         if message.checksum == digest.checksum or now < self._next_fetch_at:
             return []
         self._next_fetch_at = now + FETCH_INTERVAL_S
@@ -217,28 +219,30 @@
         actions: list[messages.Action] = list(
             self._members.tick(now, self.heartbeat())
         )
-        self._note_caught_up()
-        if now >= self._next_retain_at:
-            self._next_retain_at = now + RETAIN_INTERVAL_S
-            names = self._listed | self._config.inventory.instances.keys()
-            self._members.roster.retain(names, now)
+        self._update_caught_up()
+        if now >= self._next_prune_at:
+            self._next_prune_at = now + PRUNE_INTERVAL_S
+            names = (
+                self._listed_names | self._config.inventory.instances.keys()
+            )
+            self._members.roster.prune_dead(names, now)
         return actions + self._refresh(now)
 
-    def _note_caught_up(self) -> None:
-        if self._members.pauses != self._pauses_seen:
-            self._pauses_seen = self._members.pauses
+    def _update_caught_up(self) -> None:
+        if self._members.pauses != self._handled_pauses:
+            self._handled_pauses = self._members.pauses
             self._caught_up = False
-        if not self._members.fresh:
+        if not self._members.synchronised:
             return
-        if self._config.digest.generation >= self._highest_heard:
+        if self._config.digest.generation >= self._highest_peer_generation:
             self._caught_up = True
 
-    def introduce(
+    def ping_addresses(
         self, addresses: typing.Iterable[flow.Endpoint], now: float
     ) -> list[messages.Action]:
         """Greet processes of which only the address is known."""
         return [
-            self._members.greet(address, self.heartbeat())
+            self._members.ping_address(address, self.heartbeat())
             for address in addresses
         ]
 
@@ -247,7 +251,7 @@
             return []
         return self.on_view_changed(now)
 
-    def note_members(self, wall_s: float) -> None:
+    def audit_membership_changes(self, wall_s: float) -> None:
         """Write changes of membership to the audit trail.
 
         :param wall_s: seconds since 1970.
@@ -280,7 +284,7 @@
     return siphash24.siphash24(name.encode(), key=_READER_KEY).digest()
 
 
-def parse_stored(
+def documents_from_message(
     stored: typing.Iterable[messages.StoredDocument],
 ) -> list[configuration.Document]:
     """Return documents received from a peer as configuration documents."""
@@ -295,7 +299,7 @@
     :returns: service, bucket, ranked instances with the reason for each one
         that is passed over, and the revision that the answer holds for.
     """
-    service = current.table.at(flow.service_of(flow_key))
+    service = current.table.service_at(flow.packed_service_endpoint(flow_key))
     if service is None:
         return {'revision': current.generation, 'service': None}
     bucket = flow.bucket_of(flow_key, key=hash_key)
--- a/packages/teaseldock/teaseldock/owner.py
+++ b/packages/teaseldock/teaseldock/owner.py
@@ -60,7 +60,7 @@
             if self._shared.view.owner(service, bucket) == own
         }
         peers = self._shared.view.peers(service)
-        self._directory.own(owned, peers, now)
+        self._directory.set_owned(owned, peers, now)
 
     def hand_on(
         self, packet: proxy_header.Packet, name: str, role: proxy_header.Role
@@ -93,14 +93,14 @@
         if packet.role == proxy_header.Role.RETURNED:
             # Without this, an entry for a target that was leaving before it
             # took the flow sends each packet to and fro until it is dropped.
-            self._directory.forget(packet.flow)
+            self._directory.remove_holder(packet.flow)
         known = self._directory.holder_of(packet.flow)
         if known is not None and not self._shared.view.is_dead(known):
             return self.hand_on(packet, known, proxy_header.Role.HOLDER)
         if known is not None:
-            self._directory.forget(packet.flow)
+            self._directory.remove_holder(packet.flow)
         peers = self._shared.view.peers(self._service)
-        to_ask = self._directory.to_ask(bucket, peers, now)
+        to_ask = self._directory.peers_to_ask(bucket, peers, now)
         if to_ask and self._holder.names_its_challenger(packet):
             # Whoever holds the flow would send it there as well. Kept until
             # silent peers are given up, it would meet its caller's next copy.
@@ -157,15 +157,15 @@
         return self._place_all(message.flow, now)
 
     def _found(self, flow: bytes, name: str) -> list[messages.Action]:
-        self._directory.learn(flow, name)
+        self._directory.set_holder(flow, name)
         actions: list[messages.Action] = []
-        for packet in self._directory.finish(flow):
+        for packet in self._directory.finish_search(flow):
             actions += self.hand_on(packet, name, proxy_header.Role.HOLDER)
         return actions
 
     def _place_all(self, flow: bytes, now: float) -> list[messages.Action]:
         actions: list[messages.Action] = []
-        for packet in self._directory.finish(flow):
+        for packet in self._directory.finish_search(flow):
             if flow in self._holder.flows:
                 actions += self._holder.deliver(packet, now)
                 continue
@@ -194,14 +194,14 @@
             self._holder.adopt(packet.flow)
             return self._holder.deliver(packet, now)
         self._loads.sent(name, now, weight=0.0)
-        self._directory.learn(packet.flow, name)
+        self._directory.set_holder(packet.flow, name)
         return self.hand_on(packet, name, proxy_header.Role.PLACED)
 
     def on_announce(
         self, message: messages.Announce, now: float
     ) -> list[messages.Action]:
         """Learn which flows a peer holds."""
-        buckets = set(flows.read_buckets(message.complete))
+        buckets = set(flows.unpack_buckets(message.complete))
         self._directory.confirm(message.sender, buckets, now)
         elsewhere = [
             flow
@@ -245,7 +245,7 @@
         if known not in (None, name) and not taken_over:
             if known not in self._shared.view.excluded:
                 return False
-        self._directory.learn(flow, name)
+        self._directory.set_holder(flow, name)
         return True
 
     def moved(self, flow: bytes, name: str) -> None:
@@ -253,16 +253,16 @@
         bucket = flows.bucket_of(flow, key=self._shared.keys.flow_hash)
         owner = self._shared.view.owner(self._service, bucket)
         if owner == self._shared.name:
-            self._directory.learn(flow, name)
+            self._directory.set_holder(flow, name)
 
     def forget(self, flow: bytes) -> None:
         """Remove the entry of a flow that is now held here."""
-        self._directory.forget(flow)
+        self._directory.remove_holder(flow)
 
     def tick(self, now: float) -> list[messages.Action]:
         """Ask silent peers again; place what nobody claims."""
         actions: list[messages.Action] = []
-        for flow, search in self._directory.due(now):
+        for flow, search in self._directory.due_searches(now):
             alive = set(self._shared.view.peers(self._service))
             search.unanswered &= alive
             if search.rounds >= directory.SEARCH_ROUNDS:
--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -142,7 +142,7 @@
         Their bytes take longer to come than the server to use them; counted
         as running, uploads would leave slots idle.
         """
-        route = self._knowledge.route(flows.service_of(flow))
+        route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None:
             return UNKNOWN_TERMS
         if route.kind == records.RequestKind.UPLOAD:
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -380,7 +380,7 @@
         self._meters.counters['packets_out'] += 1
         self._outlet.to_caller(item)
         self._answers.shown(item.flow, searching.Holding.HELD)
-        address = flows.service_of(item.flow)
+        address = flows.packed_service_endpoint(item.flow)
         known = address in self._tracker.addresses
         self._admission.from_server(item, now)
         if not known and self._is_moved(address):
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -168,7 +168,7 @@
         if not self._knowledge.usable or self.distrusts(now):
             self._early.append((item, now))
             return
-        route = self._knowledge.route(flows.service_of(item.flow))
+        route = self._knowledge.route(flows.packed_service_endpoint(item.flow))
         if item.opening:
             self._open(item, route, now)
             return
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -122,7 +122,7 @@
 
     def near(self, flow: bytes) -> str | None:
         """Return the data centre that a flow should stay in, if any."""
-        route = self._knowledge.route(flows.service_of(flow))
+        route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None or route.kind != records.RequestKind.UPLOAD:
             return None
         return self._data_centre
@@ -223,7 +223,7 @@
         :mod:`teaseldock.packets.holdings`), and those that are silent: they
         may be restarting while their server lives.
         """
-        address = flows.service_of(flow)
+        address = flows.packed_service_endpoint(flow)
         services = [hint.service, *self._knowledge.services_of(address)]
         targets: list[records.Target] = []
         for service in dict.fromkeys(services):
--- a/packages/teaseldock/teaseldock/packets/tracking.py
+++ b/packages/teaseldock/teaseldock/packets/tracking.py
@@ -259,7 +259,7 @@
 
     def _learn(self, flow: bytes, delay_s: float, now: float) -> _Flow:
         known = self._flows[flow] = _Flow(delay_s, now)
-        self._addresses.add(flows.service_of(flow))
+        self._addresses.add(flows.packed_service_endpoint(flow))
         if len(self._flows) > FLOWS_TRACKED:
             self.forget(next(iter(self._flows)))
         return known
@@ -361,7 +361,9 @@
                     break
                 del remembered[flow]
         held = itertools.chain(self._flows, self._ended)
-        self._addresses = {flows.service_of(flow) for flow in held}
+        self._addresses = {
+            flows.packed_service_endpoint(flow) for flow in held
+        }
         while self._unanswered:
             flow, opening = next(iter(self._unanswered.items()))
             if now - opening.at < ATTEMPT_S:
--- a/packages/teaseldock/teaseldock/proxy_header.py
+++ b/packages/teaseldock/teaseldock/proxy_header.py
@@ -86,10 +86,10 @@
     """
     if datagram.startswith(_PLAIN_START) and len(datagram) >= HEADER_BYTES:
         return datagram[16:HEADER_BYTES], datagram[HEADER_BYTES:]
-    raise _classify(datagram)
+    raise _header_error(datagram)
 
 
-def _classify(datagram: bytes) -> exceptions.HeaderError:
+def _header_error(datagram: bytes) -> exceptions.HeaderError:
     if len(datagram) < HEADER_BYTES:
         return exceptions.HeaderError(
             'short', f'{len(datagram)} bytes', remedy='check the fabric'
@@ -160,7 +160,7 @@
         not datagram.startswith(_INTERNAL_START)
         or len(datagram) < INTERNAL_HEADER_BYTES
     ):
-        raise _classify(datagram)
+        raise _header_error(datagram)
     given = datagram[_TAG_START:INTERNAL_HEADER_BYTES]
     payload = datagram[INTERNAL_HEADER_BYTES:]
     covered = datagram[:_TAG_START] + payload
--- a/packages/teaseldock/teaseldock/roster.py
+++ b/packages/teaseldock/teaseldock/roster.py
@@ -14,9 +14,9 @@
 #: Unusual members told to one that joins.
 JOIN_RUMOURS = 40
 #: Each rumour is sent this often times the logarithm of the members.
-RUMOUR_FACTOR = 3
+RUMOUR_RETRANSMIT_FACTOR = 3
 #: Seconds for which a dead member is remembered, beyond any lagging list.
-DEAD_KEPT_S = 120.0
+DEAD_RETENTION_S = 120.0
 
 ROLE_AGENT = 'agent'
 ROLE_BALANCER = 'balancer'
@@ -69,7 +69,7 @@
         self._entries: dict[str, _Entry] = {}
         self._rumours: dict[str, int] = {}
         self._suspects: set[str] = set()
-        self._accused: set[str] = set()
+        self._disputed: set[str] = set()
         self._version = 0
         self._changes: list[messages.Member] = []
 
@@ -145,7 +145,7 @@
             leaving=True, counter=self._own.counter + 1
         )
         self._version += 1
-        self._spread(self._own.name)
+        self._queue_rumour(self._own.name)
 
     def seed(
         self, listed: typing.Iterable[ListedInstance], now: float
@@ -173,14 +173,16 @@
             # A process that started after the entry was made is a new one
             # under an old name; the lagging entry doesn't speak of it.
             if item.leaving_since > entry.member.incarnation:
-                self._change(entry, entry.member._replace(leaving=True), now)
+                self._update_entry(
+                    entry, entry.member._replace(leaving=True), now
+                )
 
-    def retain(self, names: typing.Container[str], now: float) -> None:
+    def prune_dead(self, names: typing.Container[str], now: float) -> None:
         """Forget dead members that no list names any more."""
         for name, entry in list(self._entries.items()):
             if name in names or entry.member.health != messages.Health.DEAD:
                 continue
-            if now - entry.changed_at > DEAD_KEPT_S:
+            if now - entry.changed_at > DEAD_RETENTION_S:
                 del self._entries[name]
                 self._rumours.pop(name, None)
 
@@ -189,11 +191,11 @@
         entry = self._entries.get(name)
         if entry is None or entry.member.health != messages.Health.ALIVE:
             return
-        self._change(
+        self._update_entry(
             entry, entry.member._replace(health=messages.Health.SUSPECT), now
         )
 
-    def spare_suspects(self, now: float) -> None:
+    def restart_suspicion_timers(self, now: float) -> None:
         """Give all suspects their whole time again."""
         for name in self._suspects:
             if name in self._entries:
@@ -208,11 +210,11 @@
                 continue
             if now - entry.changed_at < SUSPICION_S:
                 continue
-            self._change(
+            self._update_entry(
                 entry, entry.member._replace(health=messages.Health.DEAD), now
             )
 
-    def _change(
+    def _update_entry(
         self, entry: _Entry, member: messages.Member, now: float
     ) -> None:
         before = entry.member
@@ -222,8 +224,8 @@
             self._suspects.add(member.name)
         if _precedence(before) == _precedence(member):
             return
-        if self._is_news(before, member):
-            self._spread(member.name)
+        if self._needs_spreading(before, member):
+            self._queue_rumour(member.name)
         if (before.health, before.leaving, before.incarnation) != (
             member.health,
             member.leaving,
@@ -232,7 +234,7 @@
             self._version += 1
             self._changes.append(member)
 
-    def _is_news(
+    def _needs_spreading(
         self, before: messages.Member | None, member: messages.Member
     ) -> bool:
         """Tell whether others may not know yet.
@@ -247,19 +249,21 @@
             return True
         return member.incarnation > self._own.incarnation
 
-    def heard_from(self, name: str, now: float) -> None:
+    def mark_heard(self, name: str, now: float) -> None:
         """Note that a member itself has just sent something."""
         entry = self._entries.get(name)
         if entry is not None:
             entry.heard_at = now
 
-    def drain_accused(self) -> set[str]:
+    def drain_disputed(self) -> set[str]:
         """Return members that shall hear at once that others bury them."""
-        accused = self._accused
-        self._accused = set()
+        accused = self._disputed
+        self._disputed = set()
         return accused
 
-    def heard_alive(self, name: str, incarnation: int, now: float) -> None:
+    def update_incarnation(
+        self, name: str, incarnation: int, now: float
+    ) -> None:
         """Take a member's incarnation from a message that isn't a heartbeat.
 
         Peers of one service hear each other's loads long before a heartbeat
@@ -274,11 +278,13 @@
             health=messages.Health.ALIVE,
             leaving=False,
         )
-        self._change(entry, reborn, now)
+        self._update_entry(entry, reborn, now)
 
-    def _spread(self, name: str) -> None:
+    def _queue_rumour(self, name: str) -> None:
         count = max(2, len(self._entries) + 1)
-        self._rumours[name] = math.ceil(RUMOUR_FACTOR * math.log2(count))
+        self._rumours[name] = math.ceil(
+            RUMOUR_RETRANSMIT_FACTOR * math.log2(count)
+        )
 
     def pick_rumours(self, receiver: str) -> list[messages.Member]:
         """Return the newest news for a member, and count them as sent."""
@@ -299,7 +305,7 @@
                 picked.append(member)
         return picked
 
-    def unusual(self) -> list[messages.Member]:
+    def leaving_or_dead(self) -> list[messages.Member]:
         """Return what a newcomer can't guess: who is leaving or dead."""
         found = [
             entry.member
@@ -309,15 +315,17 @@
         ]
         return found[:JOIN_RUMOURS]
 
-    def hear_rumours(self, rumours: list[messages.Member], now: float) -> None:
+    def merge_rumours(
+        self, rumours: list[messages.Member], now: float
+    ) -> None:
         """Take news of others, and deny what is untrue of oneself."""
         for member in rumours:
             if member.name == self._own.name:
-                self._deny(member)
+                self._refute(member)
             else:
-                self.hear(member, now)
+                self.merge_member(member, now)
 
-    def hear(self, member: messages.Member, now: float) -> None:
+    def merge_member(self, member: messages.Member, now: float) -> None:
         """Take a member's state if it is newer than what is held."""
         if member.name == self._own.name:
             return
@@ -327,17 +335,17 @@
             if member.health == messages.Health.SUSPECT:
                 self._suspects.add(member.name)
             self._version += 1
-            if self._is_news(None, member):
-                self._spread(member.name)
+            if self._needs_spreading(None, member):
+                self._queue_rumour(member.name)
             self._changes.append(member)
             return
-        if self._is_doubtful(entry, member, now):
-            self._accused.add(member.name)
+        if self._is_disputed(entry, member, now):
+            self._disputed.add(member.name)
             member = member._replace(health=messages.Health.SUSPECT)
         if _precedence(member) > _precedence(entry.member):
-            self._change(entry, member, now)
+            self._update_entry(entry, member, now)
 
-    def _is_doubtful(
+    def _is_disputed(
         self, entry: _Entry, member: messages.Member, now: float
     ) -> bool:
         """Tell whether a member may be alive that others hold for dead.
@@ -353,14 +361,14 @@
             and now - entry.heard_at < SUSPICION_S
         )
 
-    def _deny(self, rumour: messages.Member) -> None:
+    def _refute(self, rumour: messages.Member) -> None:
         """Answer a rumour about oneself with a higher counter."""
         if rumour.incarnation > self._own.incarnation:
             # The clock went back over a restart; others would ignore this
             # process as its own past.
             self._own = self._own._replace(incarnation=rumour.incarnation + 1)
             self._own_incarnations.add(self._own.incarnation)
-            self._spread(self._own.name)
+            self._queue_rumour(self._own.name)
             return
         if rumour.incarnation < self._own.incarnation:
             return
@@ -373,7 +381,7 @@
         ):
             return
         self._own = self._own._replace(counter=rumour.counter + 1)
-        self._spread(self._own.name)
+        self._queue_rumour(self._own.name)
 
 
 def _listed_member(item: ListedInstance) -> messages.Member:
--- a/packages/teaseldock/teaseldock/routing.py
+++ b/packages/teaseldock/teaseldock/routing.py
@@ -24,7 +24,7 @@
     tlv: bytes
 
 
-class _ServiceRoutes(typing.NamedTuple):
+class _ServiceRoute(typing.NamedTuple):
     """What all packets of one service share."""
 
     service: table.ServiceTable
@@ -46,7 +46,7 @@
         self._view = current
         self._hash_key = hash_key
         self._version = -1
-        self._services: dict[bytes, _ServiceRoutes] = {}
+        self._services: dict[bytes, _ServiceRoute] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
         self._dropped: collections.Counter[str] = collections.Counter()
 
@@ -62,20 +62,20 @@
             self._addresses.clear()
             self._version = self._view.version
         endpoint = flow_key[4:8] + flow_key[10:12]
-        known = self._services.get(endpoint) or self._learn(endpoint)
+        known = self._services.get(endpoint) or self._add_service(endpoint)
         if known is None:
             self._dropped['unknown_service'] += 1
             return None
         bucket = flow.bucket_of(flow_key, key=self._hash_key)
         name = self._view.owner(known.service, bucket)
-        address = self._addresses.get(name) or self._find(name)
+        address = self._addresses.get(name) or self._find_address(name)
         if address is None:
             self._dropped['no_target'] += 1
             return None
         return Route(address, known.tlv)
 
-    def _learn(self, endpoint: bytes) -> _ServiceRoutes | None:
-        service = self._view.table.at(endpoint)
+    def _add_service(self, endpoint: bytes) -> _ServiceRoute | None:
+        service = self._view.table.service_at(endpoint)
         if service is None:
             return None
         packet = proxy_header.Packet(
@@ -86,11 +86,11 @@
             0,
             b'',
         )
-        routes = _ServiceRoutes(service, proxy_header.internal_prefix(packet))
+        routes = _ServiceRoute(service, proxy_header.internal_prefix(packet))
         self._services[endpoint] = routes
         return routes
 
-    def _find(self, name: str | None) -> tuple[str, int] | None:
+    def _find_address(self, name: str | None) -> tuple[str, int] | None:
         endpoint = self._view.endpoint(name) if name else None
         if endpoint is None:
             return None
--- a/packages/teaseldock/teaseldock/table.py
+++ b/packages/teaseldock/teaseldock/table.py
@@ -15,8 +15,8 @@
 _RANK_KEY = b'teaseldock-rank1'
 _HASH_RANGE = float(1 << 64)
 #: Marks of a bucket that was not asked for, and of a service without targets.
-_UNKNOWN = 0xFFFF
-_NOBODY = 0xFFFE
+_NOT_COMPUTED = 0xFFFF
+_NO_OWNER = 0xFFFE
 
 
 class TargetId(typing.NamedTuple):
@@ -81,7 +81,7 @@
         """Return the paid share of each instance, as a relative weight."""
         return self._weights
 
-    def is_of(self, service: inventory.Service) -> bool:
+    def matches(self, service: inventory.Service) -> bool:
         """Tell whether this is the table of an entry of the rules."""
         targets = service['targets']
         return self._targets is targets or self._targets == targets
@@ -102,28 +102,32 @@
         reaches a leaving agent is still handed on or refused, not lost.
         """
         concerned = frozenset(n for n in self._names if n in excluded)
-        return self.owner_among(bucket, concerned)
+        return self.owner_excluding(bucket, concerned)
 
-    def owner_among(self, bucket: int, excluded: frozenset[str]) -> str | None:
+    def owner_excluding(
+        self, bucket: int, excluded: frozenset[str]
+    ) -> str | None:
         """Return the owner, given the excluded targets of this service.
 
         :param excluded: a subset of this service's instances; the caller
             keeps it, so that no packet pays for finding it.
         """
         if self._owners is None or excluded != self._excluded:
-            self._owners = array.array('H', [_UNKNOWN]) * flow.BUCKET_COUNT
+            self._owners = (
+                array.array('H', [_NOT_COMPUTED]) * flow.BUCKET_COUNT
+            )
             self._excluded = excluded
         index = self._owners[bucket]
-        if index == _UNKNOWN:
-            index = self._compute(bucket)
+        if index == _NOT_COMPUTED:
+            index = self._compute_owner(bucket)
             self._owners[bucket] = index
-        return self._names[index] if index != _NOBODY else None
+        return self._names[index] if index != _NO_OWNER else None
 
-    def _compute(self, bucket: int) -> int:
+    def _compute_owner(self, bucket: int) -> int:
         able = [n for n in self._names if n not in self._excluded]
         candidates = able or self._names
         if not candidates:
-            return _NOBODY
+            return _NO_OWNER
         best = max(
             candidates, key=lambda name: (self._score(name, bucket), name)
         )
@@ -161,11 +165,11 @@
             for services that did not change is taken over.
         """
         self._contents = contents
-        self._made: dict[str, ServiceTable] = {}
+        self._service_tables: dict[str, ServiceTable] = {}
         if previous is not None:
-            self._made = {
+            self._service_tables = {
                 name: made
-                for name, made in previous._made.items()
+                for name, made in previous._service_tables.items()
                 if name in contents.services
             }
 
@@ -177,13 +181,13 @@
         entry = self._contents.services.get(name)
         if entry is None:
             return None
-        made = self._made.get(name)
-        if made is None or not made.is_of(entry):
+        made = self._service_tables.get(name)
+        if made is None or not made.matches(entry):
             made = ServiceTable(entry)
-            self._made[name] = made
+            self._service_tables[name] = made
         return made
 
-    def at(self, endpoint: bytes) -> ServiceTable | None:
+    def service_at(self, endpoint: bytes) -> ServiceTable | None:
         """Return the service at a packed endpoint, or None."""
         one, two, three, four = endpoint[:4]
         host = f'{one}.{two}.{three}.{four}'
--- a/packages/teaseldock/teaseldock/target.py
+++ b/packages/teaseldock/teaseldock/target.py
@@ -144,7 +144,7 @@
             return self._owner.on_packet(packet, now)
         self._holder.adopt(packet.flow)
         self._owner.forget(packet.flow)
-        self._announcer.adopted(packet.flow, now)
+        self._announcer.announce_adopted(packet.flow, now)
         return self._holder.deliver(packet, now)
 
     def _on_held(
@@ -234,7 +234,7 @@
         self._holder.adopt(message.flow)
         self._holder.prove(message.flow)
         self._owner.forget(message.flow)
-        self._announcer.taken_over(message.flow)
+        self._announcer.announce_taken_over(message.flow)
         self._holder.coordinator.exchanges.take_results(
             message.flow, message.results, now, codec=self._shared.codec
         )
--- a/packages/teaseldock/teaseldock/view.py
+++ b/packages/teaseldock/teaseldock/view.py
@@ -14,7 +14,7 @@
     from teaseldock import membership
 
 
-_NONE: frozenset[str] = frozenset()
+_NO_TARGETS: frozenset[str] = frozenset()
 
 
 class View:
@@ -35,11 +35,11 @@
         self._members = members
         self._table = table.Table(config.inventory)
         self._inventory: inventory.Inventory | None = None
-        self._seen_version = -1
+        self._roster_version = -1
         self._excluded: frozenset[str] = frozenset()
         self._dead: frozenset[str] = frozenset()
         self._version = 0
-        self._concerned: dict[str, frozenset[str]] = {}
+        self._excluded_targets: dict[str, frozenset[str]] = {}
         self.refresh()
 
     @property
@@ -68,7 +68,7 @@
         return self._excluded
 
     @property
-    def is_stopping(self) -> bool:
+    def is_leaving(self) -> bool:
         """Tell whether this process has said that it is about to end."""
         return self._members.own.leaving
 
@@ -80,20 +80,20 @@
         current = self._config.inventory
         if (
             current is self._inventory
-            and self._members.roster.version == self._seen_version
+            and self._members.roster.version == self._roster_version
         ):
             return False
         if current is not self._inventory:
             self._table = table.Table(current, self._table)
             self._inventory = current
-        self._seen_version = self._members.roster.version
+        self._roster_version = self._members.roster.version
         names = current.instances.keys()
         self._dead = frozenset(self._members.roster.dead & names)
         self._excluded = self._dead.union(
             current.leaving, self._members.roster.leaving & names
         )
         self._version += 1
-        self._concerned.clear()
+        self._excluded_targets.clear()
         return True
 
     def is_dead(self, name: str) -> bool:
@@ -107,12 +107,14 @@
 
     def owner(self, service: table.ServiceTable, bucket: int) -> str | None:
         """Return the instance whose agent decides about a bucket."""
-        concerned = self._concerned.get(service.name)
+        concerned = self._excluded_targets.get(service.name)
         if concerned is None:
             # Most services lose nobody: they share the one empty set.
-            concerned = self._excluded.intersection(service.weights) or _NONE
-            self._concerned[service.name] = concerned
-        return service.owner_among(bucket, concerned)
+            concerned = (
+                self._excluded.intersection(service.weights) or _NO_TARGETS
+            )
+            self._excluded_targets[service.name] = concerned
+        return service.owner_excluding(bucket, concerned)
 
     def endpoint(self, name: str) -> flow.Endpoint | None:
         """Return where the agent of an instance listens."""
--- a/tests/edge/test_documents_exchange.py
+++ b/tests/edge/test_documents_exchange.py
@@ -27,7 +27,7 @@
     def held(self) -> list[configuration.Document]:
         return []
 
-    def lacking(
+    def documents_missing_from(
         self, held: list[configuration.Document]
     ) -> list[configuration.Document]:
         return self._documents
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -312,7 +312,9 @@
     caller = small.add_caller('dispatch')
     bucket = flow.bucket_of(caller.flow, key=world.KEYS.flow_hash)
     current = small.processes['dispatch-1'].node.view
-    service = current.table.at(flow.service_of(caller.flow))
+    service = current.table.service_at(
+        flow.packed_service_endpoint(caller.flow)
+    )
     names = sorted(service.weights)
     names.remove(current.owner(service, bucket))
     node = small.processes[names[0]].node
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -28,8 +28,8 @@
 def known() -> roster.Roster:
     """Return a roster with one member, which spoke at 10 s."""
     built = roster.Roster(_member('own'))
-    built.hear(_member('other'), 0.0)
-    built.heard_from('other', 10.0)
+    built.merge_member(_member('other'), 0.0)
+    built.mark_heard('other', 10.0)
     return built
 
 
@@ -37,18 +37,18 @@
     known: roster.Roster,
 ) -> None:
     """Guards against living members that drop each other after a cut."""
-    known.hear(_member('other', health=DEAD), 10.5)
+    known.merge_member(_member('other', health=DEAD), 10.5)
     assert known.get('other').health == SUSPECT
-    assert known.drain_accused() == {'other'}
-    assert not known.drain_accused()
-    known.hear(_member('other', counter=1), 10.6)
+    assert known.drain_disputed() == {'other'}
+    assert not known.drain_disputed()
+    known.merge_member(_member('other', counter=1), 10.6)
     assert known.get('other').health == ALIVE
 
 
 def test_who_does_not_deny_it_is_dead(known: roster.Roster) -> None:
     """Guards against a member that stays suspected while others bury it."""
     for tenths in (105, 108, 111, 114):
-        known.hear(_member('other', health=DEAD), tenths / 10)
+        known.merge_member(_member('other', health=DEAD), tenths / 10)
         known.expire_suspicions(tenths / 10)
         assert known.get('other').health == SUSPECT
     known.expire_suspicions(10.5 + roster.SUSPICION_S)
@@ -59,6 +59,6 @@
     known: roster.Roster,
 ) -> None:
     """Guards against flows that wait for a member that has died."""
-    known.hear(_member('other', health=DEAD), 12.0)
+    known.merge_member(_member('other', health=DEAD), 12.0)
     assert known.get('other').health == DEAD
-    assert not known.drain_accused()
+    assert not known.drain_disputed()
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -81,7 +81,7 @@
     node = small.processes['balancer-9'].node
     peer = small.register['instances'][0]
     address = world.flow.Endpoint(peer['address'], peer['peer_port'])
-    small._perform('balancer-9', node.introduce([address], small.now))
+    small._perform('balancer-9', node.ping_addresses([address], small.now))
     small.run_until(small.now + 4.0)
     assert node.ready
     assert generations(small) == {small._revision}
@@ -132,8 +132,8 @@
     node = small.processes['balancer-1'].node
     peer = small.processes['dispatch-1'].node
     held = node.config.held()
-    assert peer.config.lacking(held) == []
+    assert peer.config.documents_missing_from(held) == []
     small.publish('rules', small.rules)
     small._offer('dispatch-1', list(small.documents.values()))
-    (lacking,) = peer.config.lacking(held)
+    (lacking,) = peer.config.documents_missing_from(held)
     assert lacking.key == 'rules'
