--- a/packages/teaseldock/teaseldock/membership.py
+++ b/packages/teaseldock/teaseldock/membership.py
@@ -29,7 +29,7 @@
 #: Dead members probed at each tick once one of them was heard again.
 RECOVERY_PROBES_PER_TICK = 2
 #: A gap between ticks beyond this is a pause of this process.
-PAUSE_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 
 
 class Heartbeat(typing.NamedTuple):
@@ -91,7 +91,7 @@
         """Probe and time out; to be called several times a second."""
         gap = now - self._last_tick
         self._last_tick = now
-        if gap > PAUSE_S:
+        if gap > PAUSE_THRESHOLD_S:
             self._on_pause(now)
         if not self._synchronised and now > self._assume_synchronised_at:
             # Nobody answered: alone after a cut, the old view is the best.
--- a/packages/teaseldock/teaseldock/roster.py
+++ b/packages/teaseldock/teaseldock/roster.py
@@ -8,11 +8,11 @@
 from teaseldock import messages
 
 #: Seconds a suspect has for denying.
-SUSPICION_S = 1.5
+SUSPICION_TIMEOUT_S = 1.5
 #: Rumours in one message, which bounds its size.
-RUMOURS_PER_MESSAGE = 6
+MAX_RUMOURS_PER_MESSAGE = 6
 #: Unusual members told to one that joins.
-JOIN_RUMOURS = 40
+MAX_JOIN_RUMOURS = 40
 #: Each rumour is sent this often times the logarithm of the members.
 RUMOUR_RETRANSMIT_FACTOR = 3
 #: Seconds for which a dead member is remembered, beyond any lagging list.
@@ -208,7 +208,7 @@
             if entry is None or entry.member.health != messages.Health.SUSPECT:
                 self._suspects.discard(name)
                 continue
-            if now - entry.changed_at < SUSPICION_S:
+            if now - entry.changed_at < SUSPICION_TIMEOUT_S:
                 continue
             self._update_entry(
                 entry, entry.member._replace(health=messages.Health.DEAD), now
@@ -296,7 +296,7 @@
         accused = self._entries.get(receiver)
         if accused and accused.member.health != messages.Health.ALIVE:
             picked.append(accused.member)
-        for name in first[: RUMOURS_PER_MESSAGE - len(picked)]:
+        for name in first[: MAX_RUMOURS_PER_MESSAGE - len(picked)]:
             member = self.get(name)
             self._rumours[name] -= 1
             if self._rumours[name] <= 0:
@@ -313,7 +313,7 @@
             if entry.member.leaving
             or entry.member.health == messages.Health.DEAD
         ]
-        return found[:JOIN_RUMOURS]
+        return found[:MAX_JOIN_RUMOURS]
 
     def merge_rumours(
         self, rumours: list[messages.Member], now: float
@@ -358,7 +358,7 @@
             member.health == messages.Health.DEAD
             and member.incarnation == entry.member.incarnation
             and entry.member.health != messages.Health.DEAD
-            and now - entry.heard_at < SUSPICION_S
+            and now - entry.heard_at < SUSPICION_TIMEOUT_S
         )
 
     def _refute(self, rumour: messages.Member) -> None:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -51,7 +51,7 @@
         known.merge_member(_member('other', health=DEAD), tenths / 10)
         known.expire_suspicions(tenths / 10)
         assert known.get('other').health == SUSPECT
-    known.expire_suspicions(10.5 + roster.SUSPICION_S)
+    known.expire_suspicions(10.5 + roster.SUSPICION_TIMEOUT_S)
     assert known.get('other').health == DEAD
 
 
