--- a/bench/path.py
+++ b/bench/path.py
@@ -188,8 +188,8 @@
     built._links['dispatch'] = link
     service = flow.Endpoint('10.9.0.1', 5683)
     key = flow.flow_key(flow.Endpoint('10.8.0.1', 4000), service)
-    item.holder.adopt(key)
-    item.holder.prove(key)
+    item.holder.add_flow(key)
+    item.holder.mark_verified(key)
     ratios = []
     pair = _Pair()
     mid = 0
@@ -246,7 +246,7 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(FLOWS_HELD):
         caller = flow.Endpoint(f'10.7.{number >> 14}.1', 1 + number % 16384)
-        holder.adopt(flow.flow_key(caller, service))
+        holder.add_flow(flow.flow_key(caller, service))
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return used / FLOWS_HELD
--- a/bench/points.py
+++ b/bench/points.py
@@ -205,9 +205,9 @@
                 feed_table.add(number, feeds.FeedState(key, request, 1))
                 continue
             exchange = exchanges.Exchange(key, request.body, 0.0, guarded=True)
-            exchange_table.begin(key + request.exchange, exchange)
-            exchange_table.answered(exchange, bytes(60))
-            exchange_table.use(number, key + request.exchange, 0.0)
+            exchange_table.add(key + request.exchange, exchange)
+            exchange_table.store_answer(exchange, bytes(60))
+            exchange_table.use_nonce(number, key + request.exchange, 0.0)
         sizes.append(resident_mb() - before)
     return {
         'requests': count,
@@ -295,7 +295,7 @@
     before = resident_mb()
     for number in range(count):
         caller = flow.Endpoint(f'10.7.{number >> 14}.1', 1 + number % 16384)
-        holder.adopt(flow.flow_key(caller, service))
+        holder.add_flow(flow.flow_key(caller, service))
     held = resident_mb() - before
     began = time.process_time()
     now = 2.0
--- a/packages/teaseldock-agent/teaseldock_agent/server_link.py
+++ b/packages/teaseldock-agent/teaseldock_agent/server_link.py
@@ -42,7 +42,7 @@
 
     def _new_socket(self, index: int) -> sockets.DatagramSocket:
         def receive(datagram: bytes, address: tuple[str, int]) -> None:
-            self._probe.heard(self._now)
+            self._probe.mark_alive(self._now)
             reply = self._on_datagram(datagram)
             if reply:
                 self._sockets[index].send_connected(reply)
--- a/packages/teaseldock/teaseldock/agent.py
+++ b/packages/teaseldock/teaseldock/agent.py
@@ -57,8 +57,8 @@
             randomness=randomness,
         )
         self._targets: dict[int, target.Target] = {}
-        self._scanned: inventory.Inventory | None = None
-        self._own_names: list[str] = []
+        self._scanned_inventory: inventory.Inventory | None = None
+        self._own_service_names: list[str] = []
         self._next_loads_at = now
         self._last_loads: list[messages.ServiceLoad] = []
         self._busy_until = now
@@ -115,8 +115,8 @@
 
     def _own_services(self, contents: inventory.Inventory) -> list[str]:
         """Return the services that this instance serves, or still leaves."""
-        if contents is self._scanned:
-            return self._own_names
+        if contents is self._scanned_inventory:
+            return self._own_service_names
         own = self._shared.name
         names = {
             name
@@ -126,9 +126,9 @@
         for item in self._targets.values():
             if item.service.name in contents.services:
                 names.add(item.service.name)
-        self._scanned = contents
-        self._own_names = sorted(names)
-        return self._own_names
+        self._scanned_inventory = contents
+        self._own_service_names = sorted(names)
+        return self._own_service_names
 
     def _slots(self, contents: inventory.Inventory) -> int:
         instance = contents.instances.get(self._shared.name)
@@ -174,10 +174,10 @@
             return super().on_message(message, now)
         item = self._targets.get(number)
         if item is None:
-            return self._without_target(message)
+            return self._answer_without_target(message)
         return item.on_message(message, now)
 
-    def _without_target(
+    def _answer_without_target(
         self, message: typing.NamedTuple
     ) -> list[messages.Action]:
         """Answer a search for a service that this instance doesn't serve yet.
@@ -228,7 +228,7 @@
         for part in message.services:
             item = self._targets.get(part.service_number)
             if item is not None:
-                item.heard_load(message.sender, part.reports, now)
+                item.on_load_report(message.sender, part.reports, now)
 
     def _report_loads(self, now: float) -> list[messages.Action]:
         """Tell peers the load, if nothing else told them just now."""
@@ -248,14 +248,14 @@
         actions: list[messages.Action] = []
         for name in self._pick_peers(now, since_s):
             for item in self._targets.values():
-                item.told(name, now)
+                item.mark_reported(name, now)
             actions += self._view.to_peer(name, message)
         return actions
 
     def _pick_peers(self, now: float, since_s: float) -> list[str]:
         names: set[str] = set()
         for item in self._targets.values():
-            names.update(item.untold(now, since_s))
+            names.update(item.peers_to_report(now, since_s))
         ordered = sorted(names)
         if len(ordered) <= LOADS_FANOUT:
             return ordered
--- a/packages/teaseldock/teaseldock/claims.py
+++ b/packages/teaseldock/teaseldock/claims.py
@@ -22,26 +22,26 @@
 #: Seconds until consent is asked for again: ten round trips between data
 #: centres; a lost datagram must not keep a slot idle for longer. Doubled each
 #: time, since the sender may be dead.
-ASK_AGAIN_S = 0.03
+CLAIM_REPEAT_S = 0.03
 #: Seconds without an answer after which the slot is given to others: the
 #: sender has died or is cut off, and its caller asks somebody else.
-GIVE_UP_S = 0.5
+CLAIM_TIMEOUT_S = 0.5
 
 
-class _Held:
+class _HeldStart:
     """A request that has a slot and waits for consent."""
 
-    __slots__ = ('start', 'began', 'ask_at', 'pause_s')
+    __slots__ = ('start', 'began', 'repeat_at', 'interval_s')
 
     def __init__(self, start: messages.ToServer, now: float) -> None:
         self.start = start
         self.began = now
-        self.pause_s = ASK_AGAIN_S
-        self.ask_at = now + self.pause_s
+        self.interval_s = CLAIM_REPEAT_S
+        self.repeat_at = now + self.interval_s
 
-    def asked_again(self, now: float) -> None:
-        self.pause_s *= 2
-        self.ask_at = now + self.pause_s
+    def back_off(self, now: float) -> None:
+        self.interval_s *= 2
+        self.repeat_at = now + self.interval_s
 
 
 class Claims:
@@ -54,22 +54,22 @@
         """
         self._shared = shared
         self._number = number
-        self._held: dict[remote.RemoteCall, _Held] = {}
+        self._held: dict[remote.RemoteCall, _HeldStart] = {}
 
     def hold(
         self, call: remote.RemoteCall, start: messages.ToServer, now: float
     ) -> list[messages.Action]:
         """Keep a request from the server, and ask its sender."""
-        self._held[call] = _Held(start, now)
-        return self._ask(call)
+        self._held[call] = _HeldStart(start, now)
+        return self._send_claim(call)
 
-    def _ask(self, call: remote.RemoteCall) -> list[messages.Action]:
+    def _send_claim(self, call: remote.RemoteCall) -> list[messages.Action]:
         claim = messages.Claim(
             self._shared.name, self._number, call.call, call.incarnation
         )
         return self._shared.view.to_peer(call.sender, claim)
 
-    def take(self, call: remote.RemoteCall) -> messages.ToServer | None:
+    def pop_start(self, call: remote.RemoteCall) -> messages.ToServer | None:
         """Return the start that was held back, and hold it no longer."""
         held = self._held.pop(call, None)
         return held.start if held else None
@@ -81,9 +81,9 @@
         actions: list[messages.Action] = []
         silent = []
         for call, held in self._held.items():
-            if now - held.began > GIVE_UP_S:
+            if now - held.began > CLAIM_TIMEOUT_S:
                 silent.append(call)
-            elif now >= held.ask_at:
-                held.asked_again(now)
-                actions += self._ask(call)
+            elif now >= held.repeat_at:
+                held.back_off(now)
+                actions += self._send_claim(call)
         return actions, silent
--- a/packages/teaseldock/teaseldock/coordinator.py
+++ b/packages/teaseldock/teaseldock/coordinator.py
@@ -22,7 +22,7 @@
 #: Seconds until a hand-on without an answer is sent again.
 REPEAT_S = 0.25
 #: Seconds after which a hand-on without an answer is given up.
-HAND_ON_TIMEOUT_S = executor.ANSWER_TIMEOUT_S + 1.0
+FORWARD_TIMEOUT_S = executor.ANSWER_TIMEOUT_S + 1.0
 #: Targets that may refuse a request before the caller is told.
 ATTEMPTS = 3
 #: Share of requests that may be run again after an unknown outcome.
@@ -44,20 +44,20 @@
         self,
         shared: context.Context,
         service: table.ServiceTable,
-        runner: executor.Executor,
+        local_executor: executor.Executor,
         loads: placement.LoadView,
         own_load: typing.Callable[[float], load.Load],
         refuse: typing.Callable[[list[executor.Job], float], list],
     ) -> None:
         """Start with no request.
 
-        :param runner: executor of the local server.
+        :param local_executor: executor of the local server.
         :param own_load: returns the local load at a time.
         :param refuse: refuses local jobs, whoever submitted them.
         """
         self._shared = shared
         self._service = service
-        self._runner = runner
+        self._executor = local_executor
         self._loads = loads
         self._own_load = own_load
         self._refuse = refuse
@@ -66,7 +66,7 @@
         self._open_flows: collections.Counter[bytes] = collections.Counter()
         self._weights: dict[tuple[str, str], float] = {}
         self._guard = guard.Guard(shared, service, self._exchanges)
-        self._retries = RETRY_BURST
+        self._retry_tokens = RETRY_BURST
 
     @property
     def exchanges(self) -> exchanges.ExchangeTable:
@@ -79,11 +79,11 @@
         return self._guard
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Return how many requests have no final answer yet."""
         return len(self._pending)
 
-    def is_open(self, flow: bytes) -> bool:
+    def has_open_request(self, flow: bytes) -> bool:
         """Tell whether a flow has a request without a final answer."""
         return flow in self._open_flows
 
@@ -113,18 +113,18 @@
         key = flow + request.exchange
         known = self._exchanges.get(key)
         if known is not None:
-            return self._repeat(known, request)
+            return self._answer_repeat(known, request)
         if request.idempotent:
             return self._begin(flow, key, request, now)
         return self._on_guarded(flow, key, request, now)
 
-    def _repeat(
+    def _answer_repeat(
         self, exchange: exchanges.Exchange, request: base.Request
     ) -> list[messages.Action]:
         self._shared.counters['repeats'] += 1
         if exchange.answer is not None:
             return [messages.ToCaller(exchange.flow, exchange.answer)]
-        if exchange.gone:
+        if exchange.answer_evicted:
             return self._refuse_unknown(exchange.flow, request)
         return []
 
@@ -132,27 +132,27 @@
         self, flow: bytes, key: bytes, request: base.Request, now: float
     ) -> list[messages.Action]:
         """Handle a request that must not run twice."""
-        ruling = self._guard.rule(flow, key, request, now)
-        if ruling.verdict is guard.Verdict.RUN:
+        decision = self._guard.evaluate(flow, key, request, now)
+        if decision.verdict is guard.Verdict.RUN:
             return self._begin(flow, key, request, now)
-        if ruling.verdict is guard.Verdict.UNKNOWN:
+        if decision.verdict is guard.Verdict.UNKNOWN:
             return self._refuse_unknown(flow, request)
-        return ruling.actions
+        return decision.actions
 
     def _begin(
         self, flow: bytes, key: bytes, request: base.Request, now: float
     ) -> list[messages.Action]:
         guarded = not request.idempotent
         exchange = exchanges.Exchange(flow, request.body, now, guarded=guarded)
-        self._exchanges.begin(key, exchange)
+        self._exchanges.add(key, exchange)
         weight = self.weight_of(request)
         pending = pendings.Pending(key, exchange, request, weight, now)
         self._open_flows[flow] += 1
-        self._retries = min(RETRY_BURST, self._retries + RETRY_SHARE)
+        self._retry_tokens = min(RETRY_BURST, self._retry_tokens + RETRY_SHARE)
         self._shared.counters['requests'] += 1
         return self._place(pending, now)
 
-    def _stays(self, request: base.Request) -> bool:
+    def _must_run_locally(self, request: base.Request) -> bool:
         return request.pinned or request.observe is not None
 
     def _place(
@@ -166,7 +166,9 @@
                 break
             call = next(self._shared.calls)
             if name != self._shared.name:
-                return actions + self._hand_on(pending, call, name, now)
+                return actions + self._forward_request(
+                    pending, call, name, now
+                )
             job = executor.Job(
                 call,
                 pending.weight,
@@ -175,15 +177,15 @@
                 pending.request.body,
                 pending,
             )
-            pending.runner = name
+            pending.assignee = name
             pending.consented = True
             self._pending[call] = pending
-            verdict, started, evicted = self._runner.submit(job, now)
+            verdict, started, evicted = self._executor.submit(job, now)
             actions += started
             others = [other for other in evicted if other.call != call]
             actions += self._refuse(others, now)
             stayed = len(others) == len(evicted)
-            if verdict is not executor.Verdict.REFUSED and stayed:
+            if verdict is not executor.SubmitResult.REFUSED and stayed:
                 return actions
             del self._pending[call]
             pending.tried.add(name)
@@ -192,15 +194,15 @@
     def _choose(self, pending: pendings.Pending, now: float) -> str | None:
         own = self._own_load(now)
         own_name = self._shared.name
-        if self._stays(pending.request):
+        if self._must_run_locally(pending.request):
             # Also while leaving: the flow could not move yet, and a planned
             # change must not cost its caller the request.
-            usable = self._runner.server_up and not pending.tried
+            usable = self._executor.server_up and not pending.tried
             return own_name if usable else None
         excluded = self._shared.view.excluded
         if not own.accepting or own_name in pending.tried:
             own = None
-        return self._loads.for_request(
+        return self._loads.choose_for_request(
             own,
             lambda name: name not in excluded
             and name not in pending.tried
@@ -209,15 +211,15 @@
             guarded=not pending.request.idempotent,
         )
 
-    def _hand_on(
+    def _forward_request(
         self, pending: pendings.Pending, call: int, name: str, now: float
     ) -> list[messages.Action]:
-        pending.runner = name
+        pending.assignee = name
         pending.incarnation = self._shared.view.incarnation(name)
         pending.repeat_at = now + REPEAT_S
         pending.consented = pending.request.idempotent
         self._pending[call] = pending
-        self._loads.sent(name, now, weight=pending.weight)
+        self._loads.record_sent(name, now, weight=pending.weight)
         self._shared.counters['handed_on'] += 1
         return self._send_execute(pending, call, now)
 
@@ -237,9 +239,11 @@
             pending.request.idempotent,
             left_ms,
             pending.request.body,
-            self._loads.packed(self._own_load(now), now, to=pending.runner),
+            self._loads.pack_reports(
+                self._own_load(now), now, to=pending.assignee
+            ),
         )
-        return self._shared.view.to_peer(pending.runner, message)
+        return self._shared.view.to_peer(pending.assignee, message)
 
     def on_claim(self, message: messages.Claim) -> list[messages.Action]:
         """Agree that a request runs, if it is still the asker's to run.
@@ -250,7 +254,7 @@
         pending = self._pending.get(message.call)
         granted = (
             pending is not None
-            and pending.runner == message.sender
+            and pending.assignee == message.sender
             and message.incarnation in self._shared.view.own_incarnations()
         )
         if granted:
@@ -269,7 +273,7 @@
     ) -> list[messages.Action]:
         """Handle a peer's answer to a hand-on."""
         pending = self._pending.get(message.call)
-        if pending is None or pending.runner != message.sender:
+        if pending is None or pending.assignee != message.sender:
             self._shared.counters['late_answers'] += 1
             return []
         del self._pending[message.call]
@@ -278,9 +282,9 @@
         if message.outcome == messages.Outcome.NOT_RUN:
             pending.tried.add(message.sender)
             return self._place(pending, now)
-        return self._lost(pending, now)
+        return self._on_unknown_outcome(pending, now)
 
-    def on_local(
+    def on_local_outcome(
         self,
         job: executor.Job,
         outcome: messages.Outcome,
@@ -296,7 +300,7 @@
         if outcome == messages.Outcome.NOT_RUN:
             pending.tried.add(self._shared.name)
             return self._place(pending, now)
-        return self._lost(pending, now)
+        return self._on_unknown_outcome(pending, now)
 
     def refuse_job(
         self, job: executor.Job, now: float
@@ -330,7 +334,7 @@
         """Send the final answer and keep it for repeats."""
         self._close(pending)
         self._shared.counters['answered'] += 1
-        self._exchanges.answered(pending.exchange, answer)
+        self._exchanges.store_answer(pending.exchange, answer)
         return [messages.ToCaller(pending.exchange.flow, answer)]
 
     def _close(self, pending: pendings.Pending) -> None:
@@ -339,24 +343,24 @@
         if self._open_flows[flow] <= 0:
             del self._open_flows[flow]
 
-    def _lost(
+    def _on_unknown_outcome(
         self, pending: pendings.Pending, now: float
     ) -> list[messages.Action]:
         """Handle a request without an answer, which may have run."""
         if not pending.consented:
-            pending.tried.add(pending.runner)
+            pending.tried.add(pending.assignee)
             return self._place(pending, now)
-        retry = pending.request.idempotent and self._retries >= 1
+        retry = pending.request.idempotent and self._retry_tokens >= 1
         if retry and pending.deadline > now:
-            self._retries -= 1
+            self._retry_tokens -= 1
             self._shared.counters['retries'] += 1
-            pending.tried.add(pending.runner)
+            pending.tried.add(pending.assignee)
             pending.may_have_run = True
             return self._place(pending, now)
         self._close(pending)
         self._shared.counters['refused_outcome_unknown'] += 1
         answer = self._refusal(pending.request, base.Refusal.OUTCOME_UNKNOWN)
-        self._exchanges.answered(pending.exchange, answer)
+        self._exchanges.store_answer(pending.exchange, answer)
         return [messages.ToCaller(pending.exchange.flow, answer)]
 
     def _refuse_not_run(
@@ -369,9 +373,9 @@
         if pending.may_have_run:
             reason = base.Refusal.OUTCOME_UNKNOWN
         self._shared.counters['refused_not_run'] += 1
-        after = self._runner.retry_after(now)
+        after = self._executor.retry_after(now)
         answer = self._refusal(pending.request, reason, after)
-        self._exchanges.answered(pending.exchange, answer)
+        self._exchanges.store_answer(pending.exchange, answer)
         return [messages.ToCaller(pending.exchange.flow, answer)]
 
     def _refuse_unknown(
@@ -393,24 +397,28 @@
         """Repeat hand-ons, and give up on runners that died."""
         actions: list[messages.Action] = []
         for call, pending in list(self._pending.items()):
-            if pending.runner != self._shared.name:
-                actions += self._watch(call, pending, now)
-        for order, ruling in self._guard.overdue(now):
-            actions += ruling.actions
-            if ruling.verdict is guard.Verdict.UNKNOWN:
-                actions += self._refuse_unknown(order.flow, order.request)
+            if pending.assignee != self._shared.name:
+                actions += self._check_forwarded(call, pending, now)
+        for handover, decision in self._guard.evaluate_overdue(now):
+            actions += decision.actions
+            if decision.verdict is guard.Verdict.UNKNOWN:
+                actions += self._refuse_unknown(
+                    handover.flow, handover.request
+                )
         self._exchanges.expire(now)
         return actions
 
-    def _watch(
+    def _check_forwarded(
         self, call: int, pending: pendings.Pending, now: float
     ) -> list[messages.Action]:
         current = self._shared.view
-        reborn = current.incarnation(pending.runner) != pending.incarnation
-        expired = now - pending.began_at > HAND_ON_TIMEOUT_S
-        if current.is_dead(pending.runner) or reborn or expired:
+        restarted = (
+            current.incarnation(pending.assignee) != pending.incarnation
+        )
+        expired = now - pending.began_at > FORWARD_TIMEOUT_S
+        if current.is_dead(pending.assignee) or restarted or expired:
             del self._pending[call]
-            return self._lost(pending, now)
+            return self._on_unknown_outcome(pending, now)
         if now < pending.repeat_at:
             return []
         pending.repeat_at = now + REPEAT_S
@@ -422,8 +430,8 @@
         for call, pending in list(self._pending.items()):
             if pending.exchange.flow != flow:
                 continue
-            if self._runner.cancel(call) is None:
+            if self._executor.cancel(call) is None:
                 continue
             del self._pending[call]
             self._close(pending)
-            self._exchanges.abandon(pending.key)
+            self._exchanges.remove(pending.key)
--- a/packages/teaseldock/teaseldock/drain.py
+++ b/packages/teaseldock/teaseldock/drain.py
@@ -46,11 +46,11 @@
         self._shared = shared
         self._service = service
         self._holder = held
-        self._sent: dict[bytes, tuple[str, float]] = {}
+        self._transfers: dict[bytes, tuple[str, float]] = {}
         self._moved: dict[bytes, str] = {}
 
     @property
-    def moving(self) -> int:
+    def flows_left(self) -> int:
         """Return how many flows are still held."""
         return len(self._holder.flows)
 
@@ -72,27 +72,27 @@
 
     def tick(self, now: float) -> list[messages.Action]:
         """Move flows, as many at once as the bounds allow."""
-        actions = self.finish(now)
+        actions = self.repeat_transfers(now)
         releases = 0
         for flow in list(self._holder.flows):
             if releases >= RELEASES_PER_TICK:
                 break
-            if flow in self._sent or not self._holder.may_move(flow, now):
+            if flow in self._transfers or not self._holder.may_move(flow, now):
                 continue
             if not self._has_state(flow, now):
-                actions += self._let_go(flow, now)
+                actions += self._release_flow(flow, now)
                 releases += 1
-            elif len(self._sent) < TRANSFERS_AT_ONCE:
+            elif len(self._transfers) < TRANSFERS_AT_ONCE:
                 if self._shared.budget.has_room(now):
                     actions += self._transfer(flow, now)
         return actions
 
-    def finish(self, now: float) -> list[messages.Action]:
+    def repeat_transfers(self, now: float) -> list[messages.Action]:
         """Repeat the transfers that were not acknowledged."""
         actions: list[messages.Action] = []
-        for flow, (name, repeat_at) in list(self._sent.items()):
+        for flow, (name, repeat_at) in list(self._transfers.items()):
             if self._shared.view.is_dead(name):
-                del self._sent[flow]
+                del self._transfers[flow]
             elif now >= repeat_at:
                 actions += self._transfer(flow, now, to=name)
         return actions
@@ -103,9 +103,9 @@
         Requests can be handed on one by one; a feed would stay silent until
         the server comes back, while its caller takes the last state for true.
         """
-        actions = self.finish(now)
+        actions = self.repeat_transfers(now)
         for flow in self._holder.feeds.flows():
-            if flow in self._sent:
+            if flow in self._transfers:
                 continue
             if not self._shared.budget.has_room(now):
                 break
@@ -113,7 +113,7 @@
                 actions += self._transfer(flow, now)
         return actions
 
-    def move(
+    def move_flow(
         self, flow: bytes, now: float
     ) -> tuple[str | None, list[messages.Action]]:
         """Move one flow ahead of its turn, because a request came.
@@ -121,18 +121,18 @@
         :returns: the new holder, or None if the flow must stay for now; its
             request is then handed on to run elsewhere.
         """
-        name = self.target_of(flow, now)
+        name = self.destination_of(flow, now)
         if name is None or not self._holder.may_move(flow, now):
             return None, []
-        if flow in self._sent:
+        if flow in self._transfers:
             return name, []
         if not self._has_state(flow, now):
-            return name, self._let_go(flow, now)
+            return name, self._release_flow(flow, now)
         if not self._shared.budget.has_room(now):
             return None, []
         return name, self._transfer(flow, now)
 
-    def target_of(self, flow: bytes, now: float) -> str | None:
+    def destination_of(self, flow: bytes, now: float) -> str | None:
         """Return the instance that a flow would move to, or None."""
         bucket = self._holder.bucket_of(flow)
         if bucket is None:
@@ -140,15 +140,15 @@
         own = self._shared.name
         name = self._shared.view.owner(self._service, bucket)
         if name == own and not self._holder.server_up:
-            name = self._any_accepting(now)
+            name = self._least_loaded(now)
         return None if name == own else name
 
-    def _any_accepting(self, now: float) -> str:
+    def _least_loaded(self, now: float) -> str:
         """Return the peer that holds the fewest flows, or oneself."""
         if self._shared.name not in self._service.weights:
             return self._shared.name
         excluded = self._shared.view.excluded
-        return self._loads.for_flow(
+        return self._loads.choose_for_flow(
             self._holder.load(now), lambda name: name not in excluded, now
         )
 
@@ -156,8 +156,8 @@
         """Tell whether a new holder must be told anything of a flow."""
         return self._holder.feeds.has(flow) or bool(self._results(flow, now))
 
-    def _let_go(self, flow: bytes, now: float) -> list[messages.Action]:
-        name = self.target_of(flow, now)
+    def _release_flow(self, flow: bytes, now: float) -> list[messages.Action]:
+        name = self.destination_of(flow, now)
         if name is None:
             return []
         self._moved[flow] = name
@@ -168,11 +168,11 @@
         self, flow: bytes, now: float, *, to: str | None = None
     ) -> list[messages.Action]:
         """Send a transfer, or repeat it to the same receiver."""
-        name = to or self.target_of(flow, now)
+        name = to or self.destination_of(flow, now)
         if name is None:
             return []
-        self._sent[flow] = (name, now + REPEAT_S)
-        feeds = self._holder.feeds.exported(flow)
+        self._transfers[flow] = (name, now + REPEAT_S)
+        feeds = self._holder.feeds.export(flow)
         results = self._results(flow, now)
         size = sum(len(item.request) for item in feeds)
         size += sum(len(i.request) + len(i.answer) for i in results)
@@ -206,13 +206,13 @@
         self, message: messages.Transferred, now: float
     ) -> list[messages.Action]:
         """Give a flow up that its new holder has confirmed."""
-        sent = self._sent.pop(message.flow, None)
+        sent = self._transfers.pop(message.flow, None)
         if sent is None or sent[0] != message.sender:
             return []
         if not self._holder.may_move(message.flow, now):
             # A request came in between; the transfer is sent once more when
             # it is done, as the receiver holds the flow already.
-            self._sent[message.flow] = (message.sender, now + REPEAT_S)
+            self._transfers[message.flow] = (message.sender, now + REPEAT_S)
             return []
         self._moved[message.flow] = message.sender
         self._shared.counters['flows_moved'] += 1
--- a/packages/teaseldock/teaseldock/exchanges.py
+++ b/packages/teaseldock/teaseldock/exchanges.py
@@ -22,7 +22,7 @@
 
     :ivar guarded: whether the request must not run twice.
     :ivar answer: datagram sent to the caller; None while there is none.
-    :ivar gone: whether an answer was sent and its text was given up.
+    :ivar answer_evicted: whether an answer was sent and its text was given up.
     """
 
     __slots__ = (
@@ -31,7 +31,7 @@
         'began_at',
         'guarded',
         'answer',
-        'gone',
+        'answer_evicted',
     )
 
     def __init__(
@@ -46,10 +46,10 @@
         self.began_at = began_at
         self.guarded = guarded
         self.answer: bytes | None = None
-        self.gone = False
+        self.answer_evicted = False
 
 
-class Nonce(typing.NamedTuple):
+class NonceUse(typing.NamedTuple):
     """Use of a challenge: the exchange that it let run, and when."""
 
     exchange: bytes
@@ -70,7 +70,7 @@
             collections.OrderedDict()
         )
         self._by_flow: dict[bytes, list[Exchange]] = {}
-        self._nonces: collections.OrderedDict[int, Nonce] = (
+        self._nonces: collections.OrderedDict[int, NonceUse] = (
             collections.OrderedDict()
         )
         self._answers: collections.deque[Exchange] = collections.deque()
@@ -83,7 +83,7 @@
         """Return the exchange of a message, or None."""
         return self._exchanges.get(key)
 
-    def begin(self, key: bytes, exchange: Exchange) -> None:
+    def add(self, key: bytes, exchange: Exchange) -> None:
         """Add an exchange.
 
         :param key: flow key followed by the request's exchange.
@@ -91,7 +91,7 @@
         self._exchanges[key] = exchange
         self._by_flow.setdefault(exchange.flow, []).append(exchange)
 
-    def abandon(self, key: bytes) -> None:
+    def remove(self, key: bytes) -> None:
         """Forget an exchange of which nothing may be remembered."""
         exchange = self._exchanges.pop(key, None)
         if exchange is not None:
@@ -103,7 +103,7 @@
         if not of_flow:
             del self._by_flow[exchange.flow]
 
-    def use(self, nonce: int, key: bytes, now: float) -> bytes | None:
+    def use_nonce(self, nonce: int, key: bytes, now: float) -> bytes | None:
         """Note the use of a challenge.
 
         :returns: the exchange that used it before, or None for the first.
@@ -111,7 +111,7 @@
         known = self._nonces.get(nonce)
         if known is not None:
             return known.exchange
-        self._nonces[nonce] = Nonce(key, now)
+        self._nonces[nonce] = NonceUse(key, now)
         return None
 
     def used_by(self, nonce: int) -> bytes | None:
@@ -119,7 +119,7 @@
         known = self._nonces.get(nonce)
         return known.exchange if known else None
 
-    def answered(self, exchange: Exchange, answer: bytes) -> None:
+    def store_answer(self, exchange: Exchange, answer: bytes) -> None:
         """Keep an answer for repeats of its message."""
         exchange.answer = answer
         self._answers.append(exchange)
@@ -128,7 +128,7 @@
             oldest = self._answers.popleft()
             self._answer_bytes -= len(oldest.answer or b'')
             oldest.answer = None
-            oldest.gone = True
+            oldest.answer_evicted = True
 
     def of_flow(self, flow: bytes) -> list[Exchange]:
         """Return the exchanges of a flow, oldest first."""
@@ -165,7 +165,7 @@
             and item.began_at >= since
         ]
 
-    def take_results(
+    def import_results(
         self,
         flow: bytes,
         results: list[messages.Result],
@@ -180,5 +180,5 @@
             if self.get(key) is not None:
                 continue
             exchange = Exchange(flow, result.request, now, guarded=True)
-            self.begin(key, exchange)
-            self.answered(exchange, result.answer)
+            self.add(key, exchange)
+            self.store_answer(exchange, result.answer)
--- a/packages/teaseldock/teaseldock/executor.py
+++ b/packages/teaseldock/teaseldock/executor.py
@@ -15,13 +15,13 @@
 #: Seconds that a request may wait in the queue before it is refused.
 MAX_WAIT_S = 1.0
 #: Service time assumed before the first answer, seconds.
-FIRST_GUESS_S = 0.05
+INITIAL_SERVICE_S = 0.05
 #: Weight of one new observation in the mean service time.
 SMOOTHING = 0.05
 #: Seconds over which a cold server's slots are opened.
 RAMP_S = 4.0
 #: Seconds that a server's own refusal takes one slot away.
-SHED_S = 1.0
+SHED_PENALTY_S = 1.0
 #: Seconds without an answer after which an answer is given up.
 ANSWER_TIMEOUT_S = 20.0
 #: Shortest and longest time to come back told to a caller, seconds.
@@ -31,7 +31,7 @@
 WORK_WINDOW_S = 1.0
 
 
-class Verdict(enum.Enum):
+class SubmitResult(enum.Enum):
     """What became of a job that was submitted."""
 
     STARTED = 'started'
@@ -83,7 +83,7 @@
         self._queue = sortedcontainers.SortedKeyList(
             key=lambda job: (-job.weight, job.call)
         )
-        self._service_s = FIRST_GUESS_S
+        self._service_s = INITIAL_SERVICE_S
         self._shed_until = 0.0
         self._server_up = True
         self._work: collections.deque[tuple[float, float]] = (
@@ -107,7 +107,7 @@
 
     def load(self, now: float, *, flows: int, accepting: bool) -> loads.Load:
         """Return the report that travels to peers."""
-        self._forget_work(now)
+        self._expire_work(now)
         return loads.Load(
             len(self._running),
             len(self._queue),
@@ -145,21 +145,21 @@
 
     def submit(
         self, job: Job, now: float
-    ) -> tuple[Verdict, list[messages.ToServer], list[Job]]:
+    ) -> tuple[SubmitResult, list[messages.ToServer], list[Job]]:
         """Start, queue or refuse a job.
 
         :returns: the verdict, requests for the server, and jobs that were
             queued before and are refused now to make room.
         """
         if not self._server_up:
-            return Verdict.REFUSED, [], []
+            return SubmitResult.REFUSED, [], []
         if len(self._running) < self._usable_slots(now):
-            return Verdict.STARTED, [self._start(job, now)], []
+            return SubmitResult.STARTED, [self._start(job, now)], []
         latest = min(job.deadline - self._service_s, now + MAX_WAIT_S)
         if now + self.expected_wait(job.weight, now) > latest:
-            return Verdict.REFUSED, [], []
+            return SubmitResult.REFUSED, [], []
         self._queue.add(job)
-        return Verdict.QUEUED, [], self._evict(now)
+        return SubmitResult.QUEUED, [], self._evict(now)
 
     def _evict(self, now: float) -> list[Job]:
         """Refuse at once what the newest job pushed beyond the bound."""
@@ -177,11 +177,11 @@
         self._work_sum += job.weight
         return messages.ToServer(self._service, job.call, job.flow, job.body)
 
-    def _forget_work(self, now: float) -> None:
+    def _expire_work(self, now: float) -> None:
         while self._work and self._work[0][0] < now - WORK_WINDOW_S:
             self._work_sum -= self._work.popleft()[1]
 
-    def answered(
+    def on_server_answer(
         self, call: int, now: float, *, shed: bool
     ) -> tuple[Job | None, list[messages.ToServer], list[Job]]:
         """Take an answer of the server.
@@ -195,14 +195,16 @@
             return None, [], []
         job, started_at = entry
         if shed:
-            self._shed_until = now + SHED_S
+            self._shed_until = now + SHED_PENALTY_S
         else:
             elapsed = now - started_at
             self._service_s += SMOOTHING * (elapsed - self._service_s)
-        started, refused = self._fill(now)
+        started, refused = self._fill_slots(now)
         return job, started, refused
 
-    def _fill(self, now: float) -> tuple[list[messages.ToServer], list[Job]]:
+    def _fill_slots(
+        self, now: float
+    ) -> tuple[list[messages.ToServer], list[Job]]:
         started = []
         refused = []
         while self._queue and len(self._running) < self._usable_slots(now):
@@ -213,12 +215,12 @@
             started.append(self._start(job, now))
         return started, refused
 
-    def job(self, call: int) -> Job | None:
+    def running_job(self, call: int) -> Job | None:
         """Return a job that has a slot, or None."""
         entry = self._running.get(call)
         return entry[0] if entry else None
 
-    def withdraw(
+    def release_slot(
         self, call: int, now: float
     ) -> tuple[list[messages.ToServer], list[Job]]:
         """Give the slot of a job that was never started to others.
@@ -226,7 +228,7 @@
         :returns: requests for the server, and jobs refused.
         """
         self._running.pop(call, None)
-        return self._fill(now)
+        return self._fill_slots(now)
 
     def cancel(self, call: int) -> Job | None:
         """Take a job out of the queue; None if it runs or is unknown."""
@@ -252,13 +254,13 @@
         ]
         for job in lost:
             del self._running[job.call]
-        hopeless = [
+        expired = [
             job for job in self._queue if job.deadline < now + self._service_s
         ]
-        for job in hopeless:
+        for job in expired:
             self._queue.remove(job)
-        started, refused = self._fill(now)
-        return started, refused + hopeless, lost
+        started, refused = self._fill_slots(now)
+        return started, refused + expired, lost
 
     def server_lost(self) -> tuple[list[Job], list[Job]]:
         """Note that the server is gone.
@@ -272,7 +274,7 @@
         self._running.clear()
         return queued, running
 
-    def server_back(self, now: float) -> None:
+    def server_recovered(self, now: float) -> None:
         """Note that the server answers again, and is cold."""
         if self._server_up:
             return
--- a/packages/teaseldock/teaseldock/feeds.py
+++ b/packages/teaseldock/teaseldock/feeds.py
@@ -9,7 +9,7 @@
 #: Seconds until a feed that the server didn't take up is tried again.
 RESUME_REPEAT_S = 1.0
 #: Observe numbers are 24 bits (RFC 7641 section 3.4).
-_SEQUENCES = 1 << 24
+_SEQUENCE_MODULUS = 1 << 24
 
 if typing.TYPE_CHECKING:
     from teaseldock.codecs import base
@@ -47,7 +47,7 @@
 
     def next_sequence(self) -> int:
         """Return the next Observe number."""
-        self.sequence = (self.sequence + 1) % _SEQUENCES
+        self.sequence = (self.sequence + 1) % _SEQUENCE_MODULUS
         return self.sequence
 
 
@@ -103,14 +103,14 @@
                 return call
         return None
 
-    def exported(self, flow: bytes) -> list[messages.Feed]:
+    def export(self, flow: bytes) -> list[messages.Feed]:
         """Return a flow's feeds as another holder needs them."""
         return [
             messages.Feed(feed.request.body, feed.sequence)
             for _, feed in self.of_flow(flow)
         ]
 
-    def unconfirmed(self, now: float) -> list[int]:
+    def due_registrations(self, now: float) -> list[int]:
         """Return calls whose registration is due to be sent again."""
         due = []
         for call, feed in self._by_call.items():
--- a/packages/teaseldock/teaseldock/guard.py
+++ b/packages/teaseldock/teaseldock/guard.py
@@ -28,10 +28,10 @@
 
 #: Agents believed dead from which on the cause may be a cut: one alone has
 #: mostly died.
-CUT_AGENTS = 2
+PARTITION_DEAD_AGENTS = 2
 #: Seconds for which that is remembered: those behind a cut are taken back one
 #: by one.
-CUT_MEMORY_S = 10.0
+PARTITION_HOLD_S = 10.0
 
 
 class Verdict(enum.Enum):
@@ -46,15 +46,15 @@
     UNKNOWN = 'unknown'
 
 
-class Ruling(typing.NamedTuple):
+class Decision(typing.NamedTuple):
     """A verdict, and the actions that go with ``ACT``."""
 
     verdict: Verdict
     actions: list[messages.Action]
 
 
-_RUN = Ruling(Verdict.RUN, [])
-_UNKNOWN = Ruling(Verdict.UNKNOWN, [])
+_RUN = Decision(Verdict.RUN, [])
+_UNKNOWN = Decision(Verdict.UNKNOWN, [])
 
 
 class Guard:
@@ -74,17 +74,17 @@
         self._service = service
         self._exchanges = known
         self._handovers = handovers.Handovers()
-        self._resends = resends.Resends()
-        self._cut_seen_at = -math.inf
+        self._resends = resends.ResendLimit()
+        self._partition_seen_at = -math.inf
         self._number = load.instance_number(shared.name)
 
     def set_service(self, service: table.ServiceTable) -> None:
         """Take over changed rules."""
         self._service = service
 
-    def rule(
+    def evaluate(
         self, flow: bytes, key: bytes, request: base.Request, now: float
-    ) -> Ruling:
+    ) -> Decision:
         """Judge a guarded request whose message was not seen before.
 
         :param key: of its exchange.
@@ -100,16 +100,16 @@
             return self.challenge(flow, request, now)
         own = self._shared.view.own_incarnations()
         if given.holder != self._number or given.incarnation not in own:
-            return self._to_challenger(flow, key, request, given, now)
+            return self._hand_over(flow, key, request, given, now)
         if now - given.issued_s > challenge.CHALLENGE_LIFETIME_S:
             return _UNKNOWN
-        if self._exchanges.use(given.nonce, key, now) is not None:
+        if self._exchanges.use_nonce(given.nonce, key, now) is not None:
             # The same challenge under another message: the first may have
             # run, so neither "not run" nor a second run would be right.
             return _UNKNOWN
         return _RUN
 
-    def is_answered(self, flow: bytes, request: base.Request) -> bool:
+    def has_valid_echo(self, flow: bytes, request: base.Request) -> bool:
         """Tell whether a request answers a challenge sent to its flow.
 
         Any process of the fleet may have issued it: only who receives the
@@ -125,7 +125,7 @@
 
     def challenge(
         self, flow: bytes, request: base.Request, now: float
-    ) -> Ruling:
+    ) -> Decision:
         """Ask a caller to send its request again with a challenge."""
         self._shared.counters['challenges'] += 1
         issued = challenge.Challenge(
@@ -136,31 +136,31 @@
         )
         value = challenge.issue(issued, flow, key=self._shared.keys.seal[0])
         answer = self._shared.codec.challenge(request, value)
-        return Ruling(Verdict.ACT, [messages.ToCaller(flow, answer)])
+        return Decision(Verdict.ACT, [messages.ToCaller(flow, answer)])
 
-    def _to_challenger(
+    def _hand_over(
         self,
         flow: bytes,
         key: bytes,
         request: base.Request,
         given: challenge.Challenge,
         now: float,
-    ) -> Ruling:
+    ) -> Decision:
         """Hand a request to the one process that may run it.
 
         It goes there also if that one is believed dead: answered at once,
         every order ended as "outcome unknown" whose caller's packets reach
         both sides of a cut, and more of them in the second after its end.
         """
-        endpoint = self._endpoint(given.holder, given.incarnation)
+        endpoint = self._challenger_endpoint(given.holder, given.incarnation)
         if endpoint is None:
             return _UNKNOWN
-        if self._asks_again(request, given.holder, now):
-            return self._challenge_again(flow, request)
-        order = handovers.HandedOver(
+        if self._may_ask_resend(request, given.holder, now):
+            return self._ask_resend(flow, request)
+        handover = handovers.Handover(
             flow, request, given.holder, given.incarnation, now
         )
-        self._handovers.add(key, order)
+        self._handovers.add(key, handover)
         self._shared.counters['to_challenger'] += 1
         packet = proxy_header.Packet(
             flow,
@@ -171,13 +171,13 @@
             request.body,
         )
         action = messages.ToAgent(endpoint.host, endpoint.port, packet)
-        return Ruling(Verdict.ACT, [action])
+        return Decision(Verdict.ACT, [action])
 
-    def _endpoint(
+    def _challenger_endpoint(
         self, holder: int, incarnation: int
     ) -> flows.Endpoint | None:
         """Return where the challenger is, None if its run has ended."""
-        name = self._find(holder)
+        name = self._instance_by_number(holder)
         if name is None:
             return None
         heard = self._shared.view.incarnation(name)
@@ -185,24 +185,31 @@
             return None
         return self._shared.view.endpoint(name)
 
-    def overdue(self, now: float) -> list[tuple[handovers.HandedOver, Ruling]]:
+    def evaluate_overdue(
+        self, now: float
+    ) -> list[tuple[handovers.Handover, Decision]]:
         """Judge handed over requests whose challenger has not answered."""
-        if self._shared.view.dead_count >= CUT_AGENTS:
-            self._cut_seen_at = now
+        if self._shared.view.dead_count >= PARTITION_DEAD_AGENTS:
+            self._partition_seen_at = now
         return [
-            (order, self._rule_lost(order, now))
-            for order in self._handovers.take_due(now)
-            if self._is_lost(order)
+            (handover, self._evaluate_unanswered(handover, now))
+            for handover in self._handovers.pop_due(now)
+            if self._is_challenger_lost(handover)
         ]
 
-    def _rule_lost(self, order: handovers.HandedOver, now: float) -> Ruling:
-        if self._endpoint(order.holder, order.incarnation) is None:
+    def _evaluate_unanswered(
+        self, handover: handovers.Handover, now: float
+    ) -> Decision:
+        if (
+            self._challenger_endpoint(handover.holder, handover.incarnation)
+            is None
+        ):
             return _UNKNOWN
-        if self._asks_again(order.request, order.holder, now):
-            return self._challenge_again(order.flow, order.request)
+        if self._may_ask_resend(handover.request, handover.holder, now):
+            return self._ask_resend(handover.flow, handover.request)
         return _UNKNOWN
 
-    def _asks_again(
+    def _may_ask_resend(
         self, request: base.Request, holder: int, now: float
     ) -> bool:
         """Tell whether the caller may reach a challenger that we can't.
@@ -210,15 +217,15 @@
         Handed to it as well, the order could run there while its caller
         waits for the answer to the message that it sends next.
         """
-        name = self._find(holder)
+        name = self._instance_by_number(holder)
         return (
             name is not None
             and self._shared.view.is_dead(name)
-            and now - self._cut_seen_at < CUT_MEMORY_S
-            and self._resends.take(request.echo)
+            and now - self._partition_seen_at < PARTITION_HOLD_S
+            and self._resends.try_acquire(request.echo)
         )
 
-    def _challenge_again(self, flow: bytes, request: base.Request) -> Ruling:
+    def _ask_resend(self, flow: bytes, request: base.Request) -> Decision:
         """Ask a caller to send its request again with the same challenge.
 
         Whichever message reaches the challenger first may run there, and no
@@ -226,15 +233,18 @@
         """
         self._shared.counters['challenges_again'] += 1
         answer = self._shared.codec.challenge(request, request.echo)
-        return Ruling(Verdict.ACT, [messages.ToCaller(flow, answer)])
+        return Decision(Verdict.ACT, [messages.ToCaller(flow, answer)])
 
-    def _is_lost(self, order: handovers.HandedOver) -> bool:
-        if self._endpoint(order.holder, order.incarnation) is None:
+    def _is_challenger_lost(self, handover: handovers.Handover) -> bool:
+        if (
+            self._challenger_endpoint(handover.holder, handover.incarnation)
+            is None
+        ):
             return True
-        name = self._find(order.holder)
+        name = self._instance_by_number(handover.holder)
         return name is not None and self._shared.view.is_dead(name)
 
-    def _find(self, number: int) -> str | None:
+    def _instance_by_number(self, number: int) -> str | None:
         """Return the other instance of the service that has a number."""
         for name in self._service.weights:
             if name == self._shared.name:
--- a/packages/teaseldock/teaseldock/handovers.py
+++ b/packages/teaseldock/teaseldock/handovers.py
@@ -17,25 +17,25 @@
 #: Seconds until the outcome of an order is told as unknown if its challenger
 #: is believed dead then: callers repeat a message after 2 to 3 s (RFC 7252),
 #: and the copy may find the challenger.
-WAIT_S = 3.2
+ANSWER_WAIT_S = 3.2
 #: Orders remembered, some 1.5 KB each; the oldest are forgotten first, and
 #: their callers' next copies begin anew.
-ORDERS_KEPT = 4096
+MAX_HANDOVERS = 4096
 
 
-class HandedOver(typing.NamedTuple):
+class Handover(typing.NamedTuple):
     """An order that only its challenger may run.
 
     :ivar holder: number of the instance that issued the challenge.
     :ivar incarnation: of that instance's agent then.
-    :ivar at: when it was handed over first, seconds.
+    :ivar handed_over_at: when it was handed over first, seconds.
     """
 
     flow: bytes
     request: base.Request
     holder: int
     incarnation: int
-    at: float
+    handed_over_at: float
 
 
 class Handovers:
@@ -43,28 +43,28 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self._orders: collections.OrderedDict[bytes, HandedOver] = (
+        self._handovers: collections.OrderedDict[bytes, Handover] = (
             collections.OrderedDict()
         )
 
-    def add(self, key: bytes, order: HandedOver) -> None:
+    def add(self, key: bytes, handover: Handover) -> None:
         """Remember an order; a further copy changes nothing.
 
         :param key: of its exchange.
         """
-        if key in self._orders:
+        if key in self._handovers:
             return
-        self._orders[key] = order
-        if len(self._orders) > ORDERS_KEPT:
-            self._orders.popitem(last=False)
+        self._handovers[key] = handover
+        if len(self._handovers) > MAX_HANDOVERS:
+            self._handovers.popitem(last=False)
 
-    def take_due(self, now: float) -> list[HandedOver]:
+    def pop_due(self, now: float) -> list[Handover]:
         """Return the orders whose wait is over, and forget them."""
         due = []
-        while self._orders:
-            key, order = next(iter(self._orders.items()))
-            if now - order.at <= WAIT_S:
+        while self._handovers:
+            key, handover = next(iter(self._handovers.items()))
+            if now - handover.handed_over_at <= ANSWER_WAIT_S:
                 break
-            del self._orders[key]
-            due.append(order)
+            del self._handovers[key]
+            due.append(handover)
         return due
--- a/packages/teaseldock/teaseldock/holder.py
+++ b/packages/teaseldock/teaseldock/holder.py
@@ -25,14 +25,14 @@
     from teaseldock import table
 
 #: Seconds after its last part in which a transfer in parts is kept together.
-TRANSFER_IDLE_S = 5.0
+UPLOAD_IDLE_S = 5.0
 
 
 #: Values of the flow store: the bucket, and with this bit a caller who has
 #: proved that the flow's address is its own. Shared objects, no memory of a
 #: flow's own.
-_PROVED_BIT = 0x100
-_VALUES = tuple(range(2 * _PROVED_BIT))
+_VERIFIED_BIT = 0x100
+_FLOW_VALUES = tuple(range(2 * _VERIFIED_BIT))
 
 
 class Holder:
@@ -96,8 +96,8 @@
         """Tell whether no request is anywhere between arrival and answer."""
         return (
             self._executor.idle
-            and not self._coordinator.open
-            and not self._remote.open
+            and not self._coordinator.open_count
+            and not self._remote.open_count
         )
 
     def configure(
@@ -127,33 +127,33 @@
 
         :param to: the peer that the message goes to.
         """
-        return self._loads.packed(self.load(now), now, to=to)
+        return self._loads.pack_reports(self.load(now), now, to=to)
 
     def may_move(self, flow: bytes, now: float) -> bool:
         """Tell whether nothing of a flow depends on this very server."""
-        if self._coordinator.is_open(flow):
+        if self._coordinator.has_open_request(flow):
             return False
         last_part = self._uploads.get(flow)
-        return last_part is None or now - last_part > TRANSFER_IDLE_S
+        return last_part is None or now - last_part > UPLOAD_IDLE_S
 
-    def adopt(self, flow: bytes) -> None:
+    def add_flow(self, flow: bytes) -> None:
         """Become the holder of a flow."""
         if self._flows.get(flow) is None:
             bucket = flows.bucket_of(flow, key=self._shared.keys.flow_hash)
-            self._flows.put(flow, _VALUES[bucket])
+            self._flows.put(flow, _FLOW_VALUES[bucket])
 
     def bucket_of(self, flow: bytes) -> int | None:
         """Return the bucket of a flow that is held here, or None."""
         value = self._flows.peek(flow)
-        return None if value is None else value & (_PROVED_BIT - 1)
+        return None if value is None else value & (_VERIFIED_BIT - 1)
 
-    def prove(self, flow: bytes) -> None:
+    def mark_verified(self, flow: bytes) -> None:
         """Note that a held flow's caller has proved its address."""
         bucket = self.bucket_of(flow)
         if bucket is not None:
-            self._flows.put(flow, _VALUES[bucket | _PROVED_BIT])
+            self._flows.put(flow, _FLOW_VALUES[bucket | _VERIFIED_BIT])
 
-    def _has_proved(self, flow: bytes, request: base.Request) -> bool:
+    def _is_address_verified(self, flow: bytes, request: base.Request) -> bool:
         """Tell whether a caller is where it says it is.
 
         Anyone can send under another's address. Without proof the answers,
@@ -161,12 +161,12 @@
         to addresses that never asked.
         """
         value = self._flows.peek(flow)
-        if value is None or value & _PROVED_BIT:
+        if value is None or value & _VERIFIED_BIT:
             # A flow that is not held was handed here by its challenge.
             return True
-        if not self._coordinator.guard.is_answered(flow, request):
+        if not self._coordinator.guard.has_valid_echo(flow, request):
             return False
-        self.prove(flow)
+        self.mark_verified(flow)
         return True
 
     def release(self, flow: bytes, now: float) -> list[messages.Action]:
@@ -197,8 +197,8 @@
         if isinstance(request, base.Control):
             return self._on_control(packet.flow, request)
         key = packet.flow + request.exchange
-        proved = self._has_proved(packet.flow, request)
-        if not proved or key in self._challenged:
+        verified = self._is_address_verified(packet.flow, request)
+        if not verified or key in self._challenged:
             self._challenged.add(key)
             return self._coordinator.guard.challenge(
                 packet.flow, request, now
@@ -210,7 +210,7 @@
             self._uploads[packet.flow] = now
         return self._coordinator.on_request(packet.flow, request, now)
 
-    def names_its_challenger(self, packet: proxy_header.Packet) -> bool:
+    def answers_challenge(self, packet: proxy_header.Packet) -> bool:
         """Tell whether a datagram says by itself who may run it."""
         try:
             request = self._shared.codec.read_caller(packet.payload)
@@ -219,7 +219,7 @@
         return (
             isinstance(request, base.Request)
             and not request.idempotent
-            and self._coordinator.guard.is_answered(packet.flow, request)
+            and self._coordinator.guard.has_valid_echo(packet.flow, request)
         )
 
     def _on_control(
@@ -249,16 +249,16 @@
         self, reply: base.ServerReply, now: float
     ) -> list[messages.Action]:
         """Handle a datagram of the local server."""
-        self._executor.server_back(now)
+        self._executor.server_recovered(now)
         if reply.call is None:
             return []
         feed = self._feeds.get(reply.call)
         if feed is not None:
             return self._on_notification(reply, feed, now)
-        job, started, refused = self._executor.answered(
+        job, started, refused = self._executor.on_server_answer(
             reply.call, now, shed=reply.shed
         )
-        actions = self._begin(started, now)
+        actions = self._start_or_claim(started, now)
         if job is None:
             # Late: the request was given up. Its number is never used again,
             # so this answer cannot end at another caller.
@@ -316,7 +316,7 @@
         )
         if begins_feed:
             return self._begin_feed(job, reply)
-        return self._coordinator.on_local(job, outcome, body, now)
+        return self._coordinator.on_local_outcome(job, outcome, body, now)
 
     def _begin_feed(
         self, job: executor.Job, reply: base.ServerReply
@@ -333,7 +333,7 @@
         feed = feeds.FeedState(flow, pending.request, sequence)
         feed.confirmed = True
         self._feeds.add(job.call, feed)
-        self.adopt(flow)
+        self.add_flow(flow)
         answer = self._shared.codec.answer(
             pending.request, reply.body, sequence=feed.next_sequence()
         )
@@ -366,18 +366,18 @@
         if not self._accepting:
             return self._refuse([job], now)
         verdict, started, evicted = self._executor.submit(job, now)
-        actions = self._begin(started, now)
-        if verdict is executor.Verdict.REFUSED:
+        actions = self._start_or_claim(started, now)
+        if verdict is executor.SubmitResult.REFUSED:
             evicted = [job]
         return actions + self._refuse(evicted, now)
 
-    def _begin(
+    def _start_or_claim(
         self, started: list[messages.ToServer], now: float
     ) -> list[messages.Action]:
         """Give requests to the server, or ask their senders first."""
         actions: list[messages.Action] = []
         for start in started:
-            job = self._executor.job(start.call)
+            job = self._executor.running_job(start.call)
             origin = job.origin if job else None
             if isinstance(
                 origin, remote.RemoteCall
@@ -394,7 +394,7 @@
         call = remote.RemoteCall(
             message.sender, message.incarnation, message.call
         )
-        start = self._claims.take(call)
+        start = self._claims.pop_start(call)
         if start is None:
             return []
         if message.granted:
@@ -405,19 +405,19 @@
         self, start: messages.ToServer, now: float
     ) -> list[messages.Action]:
         """Drop a request that may not run, and use its slot for another."""
-        job = self._executor.job(start.call)
+        job = self._executor.running_job(start.call)
         if job is None:
             return []
         self._shared.counters['claims_refused'] += 1
-        started, refused = self._executor.withdraw(start.call, now)
+        started, refused = self._executor.release_slot(start.call, now)
         actions = self._refuse([job], now)
-        actions += self._begin(started, now)
+        actions += self._start_or_claim(started, now)
         return actions + self._refuse(refused, now)
 
-    def _ask_again(self, now: float) -> list[messages.Action]:
+    def _repeat_claims(self, now: float) -> list[messages.Action]:
         actions, silent = self._claims.due(now)
         for call in silent:
-            start = self._claims.take(call)
+            start = self._claims.pop_start(call)
             if start is not None:
                 actions += self._withdraw(start, now)
         return actions
@@ -433,7 +433,7 @@
             outcome = messages.Outcome.UNKNOWN
             if isinstance(job.origin, remote.RemoteCall):
                 # What waited for consent was never given to the server.
-                if self._claims.take(job.origin) is not None:
+                if self._claims.pop_start(job.origin) is not None:
                     outcome = messages.Outcome.NOT_RUN
             actions += self._finish(job, outcome, None, now)
         return actions
@@ -463,27 +463,29 @@
     def tick(self, now: float) -> list[messages.Action]:
         """Time out what hangs and forget what is over."""
         started, refused, lost = self._executor.tick(now)
-        actions = self._begin(started, now)
+        actions = self._start_or_claim(started, now)
         actions += self._refuse(refused, now)
-        actions += self._ask_again(now)
+        actions += self._repeat_claims(now)
         for job in lost:
             self._shared.counters['answers_timed_out'] += 1
             actions += self._finish(job, messages.Outcome.UNKNOWN, None, now)
         if self._executor.server_up:
-            for call in self._feeds.unconfirmed(now):
+            for call in self._feeds.due_registrations(now):
                 actions += self._register(call, self._feeds.get(call), now)
         actions += self._coordinator.tick(now)
         self._remote.expire(now)
         self._flows.expire(now, self._must_keep)
-        self._forget_uploads(now)
+        self._expire_uploads(now)
         return actions
 
     def _must_keep(self, flow: bytes, bucket: int) -> bool:
-        return self._feeds.has(flow) or self._coordinator.is_open(flow)
+        return self._feeds.has(flow) or self._coordinator.has_open_request(
+            flow
+        )
 
-    def _forget_uploads(self, now: float) -> None:
+    def _expire_uploads(self, now: float) -> None:
         while self._uploads:
             flow = next(iter(self._uploads))
-            if now - self._uploads[flow] <= TRANSFER_IDLE_S:
+            if now - self._uploads[flow] <= UPLOAD_IDLE_S:
                 break
             del self._uploads[flow]
--- a/packages/teaseldock/teaseldock/owner.py
+++ b/packages/teaseldock/teaseldock/owner.py
@@ -62,7 +62,7 @@
         peers = self._shared.view.peers(service)
         self._directory.own(owned, peers, now)
 
-    def hand_on(
+    def forward_packet(
         self, packet: proxy_header.Packet, name: str, role: proxy_header.Role
     ) -> list[messages.Action]:
         """Send a packet to another agent of the service."""
@@ -89,19 +89,19 @@
         owner = self._shared.view.owner(self._service, bucket)
         newer = packet.generation > self._shared.view.generation
         if owner not in (None, self._shared.name) and not newer:
-            return self.hand_on(packet, owner, _role_to_owner(packet))
+            return self.forward_packet(packet, owner, _role_to_owner(packet))
         if packet.role == proxy_header.Role.RETURNED:
             # Without this, an entry for a target that was leaving before it
             # took the flow sends each packet to and fro until it is dropped.
             self._directory.forget(packet.flow)
         known = self._directory.holder_of(packet.flow)
         if known is not None and not self._shared.view.is_dead(known):
-            return self.hand_on(packet, known, proxy_header.Role.HOLDER)
+            return self.forward_packet(packet, known, proxy_header.Role.HOLDER)
         if known is not None:
             self._directory.forget(packet.flow)
         peers = self._shared.view.peers(self._service)
         to_ask = self._directory.to_ask(bucket, peers, now)
-        if to_ask and self._holder.names_its_challenger(packet):
+        if to_ask and self._holder.answers_challenge(packet):
             # Whoever holds the flow would send it there as well. Kept until
             # silent peers are given up, it would meet its caller's next copy.
             return self._holder.deliver(packet, now)
@@ -120,9 +120,9 @@
         if begun is None:
             return []
         self._shared.counters['searches'] += 1
-        return self._ask(packet.flow, begun, now)
+        return self._send_locate(packet.flow, begun, now)
 
-    def _ask(
+    def _send_locate(
         self, flow: bytes, search: directory.Search, now: float
     ) -> list[messages.Action]:
         """Ask all that have not answered, or later if the budget is spent.
@@ -150,20 +150,22 @@
         if search is None:
             return []
         if message.held:
-            return self._found(message.flow, message.sender)
+            return self._on_found(message.flow, message.sender)
         search.unanswered.discard(message.sender)
         if search.unanswered:
             return []
-        return self._place_all(message.flow, now)
+        return self._place_packets(message.flow, now)
 
-    def _found(self, flow: bytes, name: str) -> list[messages.Action]:
+    def _on_found(self, flow: bytes, name: str) -> list[messages.Action]:
         self._directory.learn(flow, name)
         actions: list[messages.Action] = []
         for packet in self._directory.finish(flow):
-            actions += self.hand_on(packet, name, proxy_header.Role.HOLDER)
+            actions += self.forward_packet(
+                packet, name, proxy_header.Role.HOLDER
+            )
         return actions
 
-    def _place_all(self, flow: bytes, now: float) -> list[messages.Action]:
+    def _place_packets(self, flow: bytes, now: float) -> list[messages.Action]:
         actions: list[messages.Action] = []
         for packet in self._directory.finish(flow):
             if flow in self._holder.flows:
@@ -172,7 +174,7 @@
             known = self._directory.holder_of(flow)
             if known is not None:
                 role = proxy_header.Role.HOLDER
-                actions += self.hand_on(packet, known, role)
+                actions += self.forward_packet(packet, known, role)
                 continue
             actions += self._place(packet, now)
         return actions
@@ -184,18 +186,18 @@
         excluded = self._shared.view.excluded
         name = self._shared.name
         if name in self._service.weights:
-            name = self._loads.for_flow(
+            name = self._loads.choose_for_flow(
                 self._holder.load(now),
                 lambda other: other not in excluded,
                 now,
             )
         self._shared.counters['flows_placed'] += 1
         if name == self._shared.name:
-            self._holder.adopt(packet.flow)
+            self._holder.add_flow(packet.flow)
             return self._holder.deliver(packet, now)
-        self._loads.sent(name, now, weight=0.0)
+        self._loads.record_sent(name, now, weight=0.0)
         self._directory.learn(packet.flow, name)
-        return self.hand_on(packet, name, proxy_header.Role.PLACED)
+        return self.forward_packet(packet, name, proxy_header.Role.PLACED)
 
     def on_announce(
         self, message: messages.Announce, now: float
@@ -206,7 +208,9 @@
         elsewhere = [
             flow
             for flow in message.flows
-            if not self._learn(flow, message.sender, message.taken_over)
+            if not self._record_holder(
+                flow, message.sender, message.taken_over
+            )
         ]
         answer = messages.Announced(
             self._shared.name, self._service.number, message.batch, elsewhere
@@ -232,12 +236,12 @@
             search.unanswered.discard(name)
             known = self._directory.holder_of(flow)
             if known is not None:
-                actions += self._found(flow, known)
+                actions += self._on_found(flow, known)
             elif not search.unanswered:
-                actions += self._place_all(flow, now)
+                actions += self._place_packets(flow, now)
         return actions
 
-    def _learn(self, flow: bytes, name: str, taken_over: bool) -> bool:
+    def _record_holder(self, flow: bytes, name: str, taken_over: bool) -> bool:
         """Note a holder, unless another living target holds the flow."""
         if flow in self._holder.flows:
             return False
@@ -248,14 +252,14 @@
         self._directory.learn(flow, name)
         return True
 
-    def moved(self, flow: bytes, name: str) -> None:
+    def record_move(self, flow: bytes, name: str) -> None:
         """Note where a flow went that was held here."""
         bucket = flows.bucket_of(flow, key=self._shared.keys.flow_hash)
         owner = self._shared.view.owner(self._service, bucket)
         if owner == self._shared.name:
             self._directory.learn(flow, name)
 
-    def forget(self, flow: bytes) -> None:
+    def remove_entry(self, flow: bytes) -> None:
         """Remove the entry of a flow that is now held here."""
         self._directory.forget(flow)
 
@@ -268,9 +272,9 @@
             if search.rounds >= directory.SEARCH_ROUNDS:
                 search.unanswered.clear()
             if search.unanswered:
-                actions += self._ask(flow, search, now)
+                actions += self._send_locate(flow, search, now)
             else:
-                actions += self._place_all(flow, now)
+                actions += self._place_packets(flow, now)
         self._directory.expire(now)
         return actions
 
--- a/packages/teaseldock/teaseldock/pending.py
+++ b/packages/teaseldock/teaseldock/pending.py
@@ -14,7 +14,7 @@
     """A request on its way to a final answer.
 
     :ivar key: of its exchange.
-    :ivar runner: instance that it was given to.
+    :ivar assignee: instance that it was given to.
     :ivar tried: instances that refused it.
     :ivar may_have_run: whether a server was given it and didn't answer.
     :ivar consented: whether the instance that has it may have started it.
@@ -26,7 +26,7 @@
         'request',
         'weight',
         'deadline',
-        'runner',
+        'assignee',
         'incarnation',
         'tried',
         'began_at',
@@ -49,7 +49,7 @@
         self.request = request
         self.weight = weight
         self.deadline = now + (request.deadline_s or math.inf)
-        self.runner = ''
+        self.assignee = ''
         self.incarnation = 0
         self.tried: set[str] = set()
         self.began_at = now
--- a/packages/teaseldock/teaseldock/placement.py
+++ b/packages/teaseldock/teaseldock/placement.py
@@ -23,46 +23,46 @@
 GUARDED_SILENCE_S = 0.3
 #: Share of this target's own work below which a peer's must be to get a
 #: guarded request that could run here at once.
-GUARDED_STAY = 0.9
+GUARDED_WORK_RATIO = 0.9
 #: Requests for each slot that may wait here before a guarded one: a slot is
 #: free again about as soon as a peer would have its consent.
-GUARDED_QUEUE = 0.5
+GUARDED_QUEUE_PER_SLOT = 0.5
 #: Seconds added to a report's age for its way. More than any way takes: a
 #: report that seemed younger with each relay would go round for ever, and a
 #: dead peer would go on looking idle.
-RELAY_S = 0.005
+RELAY_DELAY_S = 0.005
 #: A flow leaves its bucket's owner only for one this much less loaded.
 FLOW_MARGIN = 2
 
 
-class Peer:
+class PeerLoad:
     """What is known of one peer's target.
 
-    :ivar heard_at: when the peer itself was last heard.
+    :ivar last_seen_at: when the peer itself was last heard.
     :ivar measured_at: when the load was measured, by the reports' ages.
-    :ivar told_at: when this agent last sent it reports.
+    :ivar report_sent_at: when this agent last sent it reports.
     :ivar sent: times and weights of requests handed to it since then.
     """
 
     __slots__ = (
         'number',
         'load',
-        'heard_at',
+        'last_seen_at',
         'measured_at',
         'sent',
-        'told_at',
+        'report_sent_at',
     )
 
     def __init__(self, number: int) -> None:
         """Know nothing yet."""
         self.number = number
         self.load = loads.Load(0, 0, 1, 0, 0.0, False)
-        self.heard_at = float('-inf')
+        self.last_seen_at = float('-inf')
         self.measured_at = float('-inf')
         self.sent: list[tuple[float, float]] = []
-        self.told_at = float('-inf')
+        self.report_sent_at = float('-inf')
 
-    def take(self, load: loads.Load, measured_at: float) -> None:
+    def update(self, load: loads.Load, measured_at: float) -> None:
         """Take a newer load, and forget requests that it includes."""
         self.load = load
         self.measured_at = measured_at
@@ -95,40 +95,41 @@
         self._own_number = loads.instance_number(own)
         self._random = randomness
         self._weights: dict[str, float] = {}
-        self._peers: dict[str, Peer] = {}
-        self._by_number: dict[int, Peer] = {}
+        self._peers: dict[str, PeerLoad] = {}
+        self._by_number: dict[int, PeerLoad] = {}
         self.set_weights(weights)
 
     def set_weights(self, weights: dict[str, float]) -> None:
         """Take over changed shares and forget instances that left."""
         self._weights = weights
         self._peers = {
-            name: self._peers.get(name) or Peer(loads.instance_number(name))
+            name: self._peers.get(name)
+            or PeerLoad(loads.instance_number(name))
             for name in weights
             if name != self._own
         }
         self._by_number = {peer.number: peer for peer in self._peers.values()}
 
-    def heard(self, sender: str, packed: bytes, now: float) -> None:
+    def on_reports(self, sender: str, packed: bytes, now: float) -> None:
         """Take the reports that came with a message.
 
         :param sender: the peer that sent them; it is alive.
         """
         peer = self._peers.get(sender)
         if peer is not None:
-            peer.heard_at = now
+            peer.last_seen_at = now
         for report in loads.read_reports(packed):
             known = self._by_number.get(report.number)
-            measured_at = now - report.age_s - RELAY_S
+            measured_at = now - report.age_s - RELAY_DELAY_S
             if known is not None and measured_at > known.measured_at:
-                known.take(report.load, measured_at)
+                known.update(report.load, measured_at)
 
-    def packed(self, own: loads.Load, now: float, *, to: str) -> bytes:
+    def pack_reports(self, own: loads.Load, now: float, *, to: str) -> bytes:
         """Return own and the newest other reports, for a message.
 
         :param to: the peer that the message goes to.
         """
-        self.told(to, now)
+        self.mark_reported(to, now)
         parts = [loads.pack_report(self._own_number, 0.0, own)]
         fresh = [
             peer
@@ -142,18 +143,18 @@
             parts.append(loads.pack_report(peer.number, age, peer.load))
         return b''.join(parts)
 
-    def told(self, name: str, now: float) -> None:
+    def mark_reported(self, name: str, now: float) -> None:
         """Note that a peer was sent this agent's load."""
         peer = self._peers.get(name)
         if peer is not None:
-            peer.told_at = now
+            peer.report_sent_at = now
 
-    def untold(self, now: float, since_s: float) -> list[str]:
+    def peers_to_report(self, now: float, since_s: float) -> list[str]:
         """Return the peers that have had no report for some seconds."""
         return [
             name
             for name, peer in self._peers.items()
-            if now - peer.told_at >= since_s
+            if now - peer.report_sent_at >= since_s
         ]
 
     def is_active(self, now: float) -> bool:
@@ -164,30 +165,30 @@
             for peer in self._peers.values()
         )
 
-    def sent(self, name: str, now: float, *, weight: float) -> None:
+    def record_sent(self, name: str, now: float, *, weight: float) -> None:
         """Count a request or a flow that was handed to a peer."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.sent.append((now, weight))
 
-    def _able(
+    def _sample_candidates(
         self,
         usable: typing.Callable[[str], bool],
         now: float,
         silence_s: float = REPORT_LIFETIME_S,
-    ) -> list[tuple[str, Peer]]:
+    ) -> list[tuple[str, PeerLoad]]:
         found = [
             (name, peer)
             for name, peer in self._peers.items()
             if peer.load.accepting
-            and now - peer.heard_at < silence_s
+            and now - peer.last_seen_at < silence_s
             and usable(name)
         ]
         if len(found) > CANDIDATES:
             return self._random.sample(found, CANDIDATES)
         return found
 
-    def for_request(
+    def choose_for_request(
         self,
         own: loads.Load | None,
         usable: typing.Callable[[str], bool],
@@ -212,11 +213,13 @@
             best = self._own
             best_score = self._score(self._own, own, [])
         silence_s = REPORT_LIFETIME_S
-        stays = best_score is not None and best_score[0] <= GUARDED_QUEUE
+        stays = (
+            best_score is not None and best_score[0] <= GUARDED_QUEUE_PER_SLOT
+        )
         if guarded and stays:
             silence_s = GUARDED_SILENCE_S
-            best_score = (0.0, best_score[1] * GUARDED_STAY)
-        for name, peer in self._able(usable, now, silence_s):
+            best_score = (0.0, best_score[1] * GUARDED_WORK_RATIO)
+        for name, peer in self._sample_candidates(usable, now, silence_s):
             score = self._score(name, peer.load, peer.sent)
             if guarded and own is not None and score[0] > 0:
                 # Full there, too: a slot would stand idle there while the
@@ -226,9 +229,9 @@
             if best_score is None or score < best_score:
                 best = name
                 best_score = score
-        return best or self._unheard(usable, now)
+        return best or self._choose_unreported(usable, now)
 
-    def _unheard(
+    def _choose_unreported(
         self, usable: typing.Callable[[str], bool], now: float
     ) -> str | None:
         """Return a peer of which nothing is known, for want of a better one.
@@ -239,7 +242,7 @@
         names = [
             name
             for name, peer in self._peers.items()
-            if now - peer.heard_at >= REPORT_LIFETIME_S and usable(name)
+            if now - peer.last_seen_at >= REPORT_LIFETIME_S and usable(name)
         ]
         return self._random.choice(names) if names else None
 
@@ -256,7 +259,7 @@
         work = load.work + sum(weight for _, weight in sent)
         return (waiting, work / self._weights[name])
 
-    def for_flow(
+    def choose_for_flow(
         self,
         own: loads.Load,
         usable: typing.Callable[[str], bool],
@@ -267,7 +270,7 @@
         best_flows = (own.flows - FLOW_MARGIN) / self._weights[self._own]
         if not own.accepting:
             best_flows = float('inf')
-        for name, peer in self._able(usable, now):
+        for name, peer in self._sample_candidates(usable, now):
             flows = (peer.load.flows + len(peer.sent)) / self._weights[name]
             if flows < best_flows:
                 best = name
--- a/packages/teaseldock/teaseldock/remote.py
+++ b/packages/teaseldock/teaseldock/remote.py
@@ -12,9 +12,9 @@
     from teaseldock import context
 
 #: Seconds for which the answer to a hand-on is kept for repeats.
-KEPT_S = exchanges.EXCHANGE_LIFETIME_S
+ANSWER_LIFETIME_S = exchanges.EXCHANGE_LIFETIME_S
 #: Answers kept at the most; the asker repeats within a second or two.
-KEPT_ANSWERS = 4096
+MAX_ANSWERS = 4096
 
 
 class RemoteCall(typing.NamedTuple):
@@ -41,7 +41,7 @@
         self._guarded: set[RemoteCall] = set()
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Return how many requests await their answer."""
         return self._open
 
@@ -110,14 +110,14 @@
         request ran.
         """
         for call in list(self._times):
-            if now - self._times[call] < KEPT_S:
+            if now - self._times[call] < ANSWER_LIFETIME_S:
                 break
             del self._times[call]
             if self._known.pop(call) is None:
                 self._open -= 1
             self._guarded.discard(call)
         for call in list(self._known)[
-            : max(0, len(self._known) - KEPT_ANSWERS)
+            : max(0, len(self._known) - MAX_ANSWERS)
         ]:
             answer = self._known[call]
             if answer is not None and answer.body:
--- a/packages/teaseldock/teaseldock/resends.py
+++ b/packages/teaseldock/teaseldock/resends.py
@@ -12,12 +12,12 @@
 
 #: Messages asked for by one process for one order: 998 of 1,000 orders whose
 #: challenger is behind one balancer of three get there, within 0.2 s.
-MESSAGES_AT_MOST = 16
+MAX_RESENDS = 16
 #: Orders remembered, some 150 bytes each; the oldest are forgotten first.
-ORDERS_KEPT = 4096
+MAX_REQUESTS_KEPT = 4096
 
 
-class Resends:
+class ResendLimit:
     """How often the callers of orders were asked to send them again."""
 
     def __init__(self) -> None:
@@ -26,15 +26,15 @@
             collections.OrderedDict()
         )
 
-    def take(self, challenge: bytes) -> bool:
+    def try_acquire(self, challenge: bytes) -> bool:
         """Tell whether a caller may be asked once more, and count it.
 
         :param challenge: value that the order came with.
         """
         count = self._asked.get(challenge, 0)
-        if count == MESSAGES_AT_MOST:
+        if count == MAX_RESENDS:
             return False
         self._asked[challenge] = count + 1
-        if len(self._asked) > ORDERS_KEPT:
+        if len(self._asked) > MAX_REQUESTS_KEPT:
             self._asked.popitem(last=False)
         return True
--- a/packages/teaseldock/teaseldock/server_probe.py
+++ b/packages/teaseldock/teaseldock/server_probe.py
@@ -32,7 +32,7 @@
         self._last_at = now
         self._unanswered = 0
 
-    def heard(self, now: float) -> None:
+    def mark_alive(self, now: float) -> None:
         """Note a datagram of the server."""
         self._unanswered = 0
         self._last_at = now
--- a/packages/teaseldock/teaseldock/target.py
+++ b/packages/teaseldock/teaseldock/target.py
@@ -74,7 +74,7 @@
     def drained(self) -> bool:
         """Tell whether nothing would be cut by stopping now."""
         alone = not self._shared.view.peers(self._service)
-        return self._holder.idle and (alone or not self._drain.moving)
+        return self._holder.idle and (alone or not self._drain.flows_left)
 
     def status(self, now: float) -> dict[str, typing.Any]:
         """Return figures for the status page."""
@@ -135,15 +135,15 @@
         moved_to = self._drain.successor_of(packet.flow)
         if moved_to is not None:
             role = proxy_header.Role.HOLDER
-            return self._owner.hand_on(packet, moved_to, role)
+            return self._owner.forward_packet(packet, moved_to, role)
         asks_owner = packet.role in (
             proxy_header.Role.OWNER,
             proxy_header.Role.RETURNED,
         )
         if asks_owner or self._leaving:
             return self._owner.on_packet(packet, now)
-        self._holder.adopt(packet.flow)
-        self._owner.forget(packet.flow)
+        self._holder.add_flow(packet.flow)
+        self._owner.remove_entry(packet.flow)
         self._announcer.adopted(packet.flow, now)
         return self._holder.deliver(packet, now)
 
@@ -152,11 +152,11 @@
     ) -> list[messages.Action]:
         if not self._leaving:
             return self._holder.deliver(packet, now)
-        successor, actions = self._drain.move(packet.flow, now)
+        successor, actions = self._drain.move_flow(packet.flow, now)
         if successor is None:
             return self._holder.deliver(packet, now)
         role = proxy_header.Role.HOLDER
-        return actions + self._owner.hand_on(packet, successor, role)
+        return actions + self._owner.forward_packet(packet, successor, role)
 
     def on_message(
         self, message: typing.NamedTuple, now: float
@@ -164,10 +164,10 @@
         """Handle a message of another agent of the service."""
         match message:
             case messages.Execute():
-                self._loads.heard(message.sender, message.reports, now)
+                self._loads.on_reports(message.sender, message.reports, now)
                 return self._holder.on_execute(message, now)
             case messages.Executed():
-                self._loads.heard(message.sender, message.reports, now)
+                self._loads.on_reports(message.sender, message.reports, now)
                 return self._holder.coordinator.on_executed(message, now)
             case messages.Claim():
                 return self._holder.coordinator.on_claim(message)
@@ -188,9 +188,9 @@
         self._shared.counters['messages_unexpected'] += 1
         return []
 
-    def heard_load(self, sender: str, reports: bytes, now: float) -> None:
+    def on_load_report(self, sender: str, reports: bytes, now: float) -> None:
         """Take a peer's report."""
-        self._loads.heard(sender, reports, now)
+        self._loads.on_reports(sender, reports, now)
 
     def is_active(self, now: float) -> bool:
         """Tell whether anything runs here or, as far as known, at a peer."""
@@ -201,14 +201,16 @@
             or self._loads.is_active(now)
         )
 
-    def untold(self, now: float, since_s: float) -> list[str]:
+    def peers_to_report(self, now: float, since_s: float) -> list[str]:
         """Return the living peers that have had no report for some time."""
         alive = set(self._shared.view.peers(self._service))
-        return [n for n in self._loads.untold(now, since_s) if n in alive]
+        return [
+            n for n in self._loads.peers_to_report(now, since_s) if n in alive
+        ]
 
-    def told(self, name: str, now: float) -> None:
+    def mark_reported(self, name: str, now: float) -> None:
         """Note that a peer was sent a report."""
-        self._loads.told(name, now)
+        self._loads.mark_reported(name, now)
 
     def own_report(self, now: float) -> messages.ServiceLoad:
         """Return this target's report for its peers."""
@@ -231,11 +233,11 @@
     def _on_transfer(
         self, message: messages.Transfer, now: float
     ) -> list[messages.Action]:
-        self._holder.adopt(message.flow)
-        self._holder.prove(message.flow)
-        self._owner.forget(message.flow)
+        self._holder.add_flow(message.flow)
+        self._holder.mark_verified(message.flow)
+        self._owner.remove_entry(message.flow)
         self._announcer.taken_over(message.flow)
-        self._holder.coordinator.exchanges.take_results(
+        self._holder.coordinator.exchanges.import_results(
             message.flow, message.results, now, codec=self._shared.codec
         )
         actions: list[messages.Action] = []
@@ -251,7 +253,7 @@
     ) -> list[messages.Action]:
         actions = self._drain.on_transferred(message, now)
         if message.flow not in self._holder.flows:
-            self._owner.moved(message.flow, message.sender)
+            self._owner.record_move(message.flow, message.sender)
         return actions
 
     def on_server_reply(
@@ -274,5 +276,5 @@
         elif not self._holder.server_up:
             actions += self._drain.move_feeds(now)
         else:
-            actions += self._drain.finish(now)
+            actions += self._drain.repeat_transfers(now)
         return actions
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,7 +5,7 @@
 from bench import fake_codec
 from bench import world
 from teaseldock import messages
-from tests import promises
+from tests import invariants
 
 
 def test_an_answer_that_comes_too_late_reaches_nobody(
@@ -34,7 +34,7 @@
     outcomes = {item.identity: item.outcome for item in small.asked}
     assert outcomes[first] == 'outcome unknown'
     assert outcomes[second] == 'answer'
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def _running_calls(run: world.World, service: str) -> range:
@@ -128,7 +128,7 @@
         node = small.processes[name].node
         coordinator = node.find('dispatch').holder.coordinator
         for call, pending in list(coordinator._pending.items()):
-            if pending.runner == name:
+            if pending.assignee == name:
                 continue
             forged = messages.Executed(
                 'tickets-5', 0, call, messages.Outcome.ANSWERED, b'', b''
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -10,7 +10,7 @@
 from teaseldock import messages
 from teaseldock import proxy_header
 from teaseldock import resends
-from tests import promises
+from tests import invariants
 
 
 def one_order(run: world.World) -> tuple[fakes.FakeCaller, str]:
@@ -32,7 +32,7 @@
         small.run_until(small.now + 1.0)
     small.run_until(small.now + 70.0)
     assert len(small.ran) > 200
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def test_holder_dies_after_the_order_ran(small: world.World) -> None:
@@ -55,7 +55,7 @@
     small.run_until(small.now + 60.0)
     outcome = [a.outcome for a in small.asked if a.identity == identity]
     assert outcome == ['outcome unknown']
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def test_holder_is_replaced_before_the_order_is_sent_on(
@@ -82,7 +82,7 @@
     outcome = [a.outcome for a in small.asked if a.identity == identity]
     assert outcome == ['outcome unknown']
     assert identity not in {item.identity for item in small.ran}
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def _challenge_of(node: world.agent.Agent, caller: fakes.FakeCaller) -> bytes:
@@ -115,9 +115,9 @@
     assert handed_on
     small.kill_instance('dispatch-2')
     small.run_until(small.now + 70.0)
-    assert set(promises.outcomes(small)) <= {'answer', 'outcome unknown'}
-    assert promises.outcomes(small)['outcome unknown'] >= 1
-    promises.assert_safe(small)
+    assert set(invariants.outcomes(small)) <= {'answer', 'outcome unknown'}
+    assert invariants.outcomes(small)['outcome unknown'] >= 1
+    invariants.assert_safe(small)
 
 
 @pytest.mark.parametrize('seconds', [5.0, 30.0])
@@ -139,8 +139,8 @@
     for caller in callers:
         caller.ask('POST', 'orders')
     small.run_until(small.now + seconds + 70.0)
-    promises.assert_safe(small)
-    assert promises.outcomes(small)['lost'] == 0
+    invariants.assert_safe(small)
+    assert invariants.outcomes(small)['lost'] == 0
 
 
 def test_overload_is_refused_at_once_and_truly(small: world.World) -> None:
@@ -151,12 +151,12 @@
             caller.ask('POST', 'orders')
         small.run_until(small.now + 1.0)
     small.run_until(small.now + 5.0)
-    counts = promises.outcomes(small)
+    counts = invariants.outcomes(small)
     assert counts['not run'] > 100
     assert set(counts) <= {'answer', 'not run'}
     refused = [a for a in small.asked if a.outcome == 'not run']
     assert max(a.seconds for a in refused) < 2.0
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def test_server_that_vanishes_leaves_the_outcome_unknown(
@@ -172,11 +172,11 @@
     small.servers['dispatch-1', 'dispatch'].die()
     small.server_refused('dispatch-1', 'dispatch')
     small.run_until(small.now + 60.0)
-    assert promises.outcomes(small)['outcome unknown'] >= 1
-    promises.assert_safe(small)
+    assert invariants.outcomes(small)['outcome unknown'] >= 1
+    invariants.assert_safe(small)
 
 
-def test_hand_on_repeat_is_answered_from_memory(small: world.World) -> None:
+def test_repeated_forward_gets_the_stored_answer(small: world.World) -> None:
     """A repeated hand-on gets the first one's answer, and runs once."""
     run = small
     node = run.processes['dispatch-2'].node
@@ -206,7 +206,9 @@
     assert [r.identity for r in run.ran].count('dispatch-0-1') == 1
 
 
-def test_what_nobody_consented_to_never_runs(small: world.World) -> None:
+def test_forwarded_request_without_consent_never_runs(
+    small: world.World,
+) -> None:
     """A request runs at a target that its sender has given up.
 
     Symptom: an order that was refused as "not run" runs after all, or one that
@@ -266,7 +268,7 @@
         item.outcome for item in small.asked if item.identity.endswith('-x')
     ]
     assert outcomes == ['answer', 'outcome unknown']
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def test_a_lost_answer_is_given_again(small: world.World) -> None:
@@ -293,10 +295,10 @@
     assert dropped
     assert small.asked[-1].identity == identity
     assert small.asked[-1].outcome == 'answer'
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
-def test_what_is_pushed_out_is_refused_at_once(small: world.World) -> None:
+def test_evicted_request_is_refused_at_once(small: world.World) -> None:
     """A handed-on request that a heavier one pushes out is answered at once.
 
     Symptom: callers wait 20 s for "outcome unknown" under overload, though
@@ -316,10 +318,10 @@
             caller.ask(*kind)
         small.run_until(small.now + 1.0)
     small.run_until(small.now + 30.0)
-    counts = promises.outcomes(small)
+    counts = invariants.outcomes(small)
     assert set(counts) <= {'answer', 'not run'}
     assert max(item.seconds for item in small.asked) < 4.0
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
 def test_an_order_reaches_its_challenger_after_a_cut(
@@ -398,7 +400,9 @@
     assert action.packet.role == proxy_header.Role.CHALLENGER
 
 
-def test_a_caller_carries_its_order_across_a_cut(small: world.World) -> None:
+def test_resent_orders_reach_their_challenger_across_a_partition(
+    small: world.World,
+) -> None:
     """Guards against orders that wait for what only their callers reach."""
     small.part(['dispatch-1', 'dispatch-2', 'balancer-1'])
     small.run_until(small.now + 8.0)
@@ -407,10 +411,10 @@
     small.run_until(small.now + 1.5)
     outcomes = {item.identity: item.outcome for item in small.asked}
     assert [outcomes.get(identity) for identity in asked] == ['answer'] * 40
-    promises.assert_safe(small)
+    invariants.assert_safe(small)
 
 
-def test_a_caller_is_sent_round_for_a_bounded_time(small: world.World) -> None:
+def test_resends_during_a_partition_are_bounded(small: world.World) -> None:
     """Guards against a caller that is never told the outcome is unknown."""
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
@@ -419,7 +423,7 @@
     node = small.processes[_other_than(small, holder)].node
     coordinator = node.find('dispatch').holder.coordinator
     codec = fake_codec.FakeCodec()
-    for message in range(resends.MESSAGES_AT_MOST):
+    for message in range(resends.MAX_RESENDS):
         request = codec.read_caller(_order(echo, message=message))
         (action,) = coordinator.on_request(caller.flow, request, small.now)
         answer = fake_codec.Answer(
@@ -432,7 +436,7 @@
     assert _unknown(coordinator.tick(small.now + 3.3))
 
 
-def test_an_order_handed_over_too_soon_is_asked_for_again(
+def test_order_handed_over_before_a_partition_is_noticed_is_resent(
     small: world.World,
 ) -> None:
     """Guards against orders lost to a cut that was not noticed yet."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,14 +22,14 @@
         own='a', weights={'a': 1.0, 'b': 1.0}, randomness=random.Random(1)
     )
     report = load.pack_report(load.instance_number('b'), 0.0, peer)
-    loads.heard('b', report, 10.0)
+    loads.on_reports('b', report, 10.0)
     return loads
 
 
 @pytest.mark.parametrize('guarded', [False, True])
 def test_a_free_slot_elsewhere_is_used(guarded: bool) -> None:
     """What would wait here runs at a peer that has a slot."""
-    chosen = view(IDLE).for_request(
+    chosen = view(IDLE).choose_for_request(
         FULL, lambda _: True, 10.01, guarded=guarded
     )
     assert chosen == 'b'
@@ -44,13 +44,19 @@
     Cause: an order that waits there gains nothing over one that waits here.
     """
     loads = view(LESS_FULL)
-    assert loads.for_request(FULL, lambda _: True, 10.01, guarded=True) == 'a'
-    assert loads.for_request(FULL, lambda _: True, 10.01, guarded=False) == 'b'
+    assert (
+        loads.choose_for_request(FULL, lambda _: True, 10.01, guarded=True)
+        == 'a'
+    )
+    assert (
+        loads.choose_for_request(FULL, lambda _: True, 10.01, guarded=False)
+        == 'b'
+    )
 
 
-def test_who_can_run_nothing_hands_on_to_whoever_can() -> None:
+def test_leaving_target_forwards_to_a_full_peer() -> None:
     """A target that leaves gives its orders to a full peer, too."""
-    chosen = view(LESS_FULL).for_request(
+    chosen = view(LESS_FULL).choose_for_request(
         None, lambda _: True, 10.01, guarded=True
     )
     assert chosen == 'b'
@@ -60,9 +66,13 @@
     """Guards against control traffic that orders with short waits cost."""
     short = load.Load(4, 1, 4, 0, 2.0, True)
     loads = view(IDLE._replace(work=2.0))
-    assert loads.for_request(short, lambda _: True, 10.01, guarded=True) == 'a'
     assert (
-        loads.for_request(short, lambda _: True, 10.01, guarded=False) == 'b'
+        loads.choose_for_request(short, lambda _: True, 10.01, guarded=True)
+        == 'a'
+    )
+    assert (
+        loads.choose_for_request(short, lambda _: True, 10.01, guarded=False)
+        == 'b'
     )
 
 
--- a/tests/test_server_probe.py
+++ b/tests/test_server_probe.py
@@ -30,6 +30,6 @@
     probe = server_probe.ServerProbe(0.0)
     for tick in range(1, 100):
         if tick % 4 == 0:
-            probe.heard(tick / 10)
+            probe.mark_alive(tick / 10)
         step = probe.step(tick / 10, busy=True)
         assert step is not server_probe.Step.LOST
