--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -150,7 +150,7 @@
         heartbeat = control.Heartbeat(
             False, 1, False, targets, 10, False, None, b'', holdings=held
         )
-        processes.hear(item.host, heartbeat, 0.0)
+        processes.record_heartbeat(item.host, heartbeat, 0.0)
     usable = candidates.Candidates(
         known, processes, store_state.StoreState(), data_centre='dc-0'
     )
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -281,10 +281,10 @@
 
     def _on_ask(self, host: str, now: float) -> None:
         """Tell a balancer that is about to place a flow how busy it is."""
-        self._mesh.learn_balancer(host, now)
+        self._mesh.add_balancer(host, now)
         self._send(
             host,
-            control.pack_heartbeat(self._heartbeat(now), asked=True),
+            control.pack_heartbeat(self._heartbeat(now), solicited=True),
             control_budget.Purpose.QUESTION,
         )
 
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -86,7 +86,7 @@
             return False
         if not self._knowledge.targets:
             return True
-        return now - self._agent_heard_at <= mesh.SILENT_S
+        return now - self._agent_heard_at <= mesh.HEARTBEAT_TIMEOUT_S
 
     def _on_heartbeat(self, peer: peers.Peer, now: float) -> None:
         if peer.is_balancer:
@@ -119,7 +119,7 @@
         self._meters.counters['loads_asked'] += 1
         peer = self._mesh.peers.get(host)
         if peer is not None:
-            peer.asked(now)
+            peer.note_question_sent(now)
         self._send(
             host,
             control.pack(control.KIND_ASK, 0, 0, b''),
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -113,10 +113,13 @@
         peer = self._mesh.peers.get(target.host)
         if peer is None:
             return False
-        if peer.leaving(now) or peer.missing(now):
+        if peer.leaving(now) or peer.answer_overdue(now):
             return True
         suspected_at = self._suspected.get(target.host)
-        if suspected_at is None or now - suspected_at > peers.BELIEVED_S:
+        if (
+            suspected_at is None
+            or now - suspected_at > peers.NEGATIVE_STATE_TTL_S
+        ):
             return False
         return suspected_at > (peer.heard_at or 0.0)
 
@@ -248,7 +251,7 @@
         hosts = []
         for host in self._hosts_with_servers(now):
             peer = self._mesh.peers.get(host)
-            if peer is None or not peer.heard_within(mesh.TRUSTED_S, now):
+            if peer is None or not peer.heard_within(mesh.REPORT_VALID_S, now):
                 hosts.append(host)
             elif holdings.may_hold(
                 peer.heartbeat, address, tags, version=version
@@ -277,7 +280,7 @@
             peer.host
             for peer in self._mesh.agents()
             if not self._knowledge.is_registered(peer.host)
-            and peer.heard_within(mesh.TRUSTED_S, now)
+            and peer.heard_within(mesh.REPORT_VALID_S, now)
             and not peer.leaving(now)
         ]
         return hosts
@@ -290,7 +293,7 @@
 
         :param told: the newest layout revision of those who were asked.
         """
-        if self._mesh.young(now) and self._store.recent_outage(now):
+        if self._mesh.recently_started(now) and self._store.recent_outage(now):
             return True
         newest = max(told, self._mesh.newest_layout(now))
         return newest > self._knowledge.revision
@@ -311,11 +314,13 @@
 
     def _is_heard(self, host: str, now: float) -> bool:
         peer = self._mesh.peers.get(host)
-        return peer is not None and peer.heard_within(mesh.SILENT_S, now)
+        return peer is not None and peer.heard_within(
+            mesh.HEARTBEAT_TIMEOUT_S, now
+        )
 
 
 def _accepts(candidate: placing.Candidate) -> bool:
     """Tell whether a target may take new flows, as far as is known."""
     if candidate.reported is None or candidate.reported.accepting:
         return True
-    return candidate.age_s > peers.BELIEVED_S
+    return candidate.age_s > peers.NEGATIVE_STATE_TTL_S
--- a/packages/teaseldock/teaseldock/packets/control.py
+++ b/packages/teaseldock/teaseldock/packets/control.py
@@ -351,12 +351,12 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def pack_heartbeat(heartbeat: Heartbeat, *, asked: bool = False) -> bytes:
+def pack_heartbeat(heartbeat: Heartbeat, *, solicited: bool = False) -> bytes:
     """Return a heartbeat as a datagram.
 
-    :param asked: whether it answers a question.
+    :param solicited: whether it answers a question.
     """
-    return pack(KIND_HEARTBEAT, asked, 0, _ENCODER.encode(heartbeat))
+    return pack(KIND_HEARTBEAT, solicited, 0, _ENCODER.encode(heartbeat))
 
 
 def _undecodable(place: str, error: Exception) -> exceptions.MessageError:
--- a/packages/teaseldock/teaseldock/packets/exchanging.py
+++ b/packages/teaseldock/teaseldock/packets/exchanging.py
@@ -80,11 +80,13 @@
         if not self._pulling.due(now):
             return
         own = self._knowledge.content_revision
-        source = self._pulling.choose(self._mesh.ahead(own, now))
+        source = self._pulling.choose(self._mesh.peers_ahead(own, now))
         if source is not None:
             self._want(source.host, self._knowledge.wanted_since, now)
             return
-        later = self._mesh.versions_beyond(self._knowledge.version, now)
+        later = self._mesh.peers_with_newer_version(
+            self._knowledge.version, now
+        )
         source = self._pulling.choose(later)
         if source is not None:
             self._want(source.host, 0, now)
@@ -99,7 +101,7 @@
             return
         own = self._knowledge.alerts_upto
         if source is None:
-            ahead = self._mesh.alerted_beyond(own, now)
+            ahead = self._mesh.peers_with_newer_alerts(own, now)
             if not ahead:
                 return
             source = self._random.choice(self._complete(ahead) or ahead).host
@@ -149,7 +151,7 @@
         alerts = control.read_alerts(body)
         self._alerts_kept[host] = alerts.kept_since
         self._take_alerts(alerts, host, now)
-        ahead = self._mesh.alerted_beyond(before, now)
+        ahead = self._mesh.peers_with_newer_alerts(before, now)
         # Each that has begun later than this process is asked but once.
         another = not alerts.complete and self._complete(ahead)
         if another or self._knowledge.alerts_upto > before:
--- a/packages/teaseldock/teaseldock/packets/mesh.py
+++ b/packages/teaseldock/teaseldock/packets/mesh.py
@@ -28,7 +28,7 @@
 #: Seconds between two rounds of heartbeats, of a balancer to others and of an
 #: agent to those that it reports to. A balancer tells an agent that reports to
 #: it in the first round after TO_AGENT_INTERVAL_S, every second one. Three
-#: rounds fit into SILENT_S.
+#: rounds fit into HEARTBEAT_TIMEOUT_S.
 ROUND_S = 0.4
 TO_AGENT_INTERVAL_S = 0.6
 #: Processes that are told in one round at the most: up to 13 balancers hear
@@ -37,11 +37,11 @@
 FAN_OUT = 12
 #: Balancers that an agent reports to. Two may end at once without leaving it
 #: without news; each balancer hears four times the agents over the balancers.
-REPORTS_TO = 4
+BALANCERS_PER_AGENT = 4
 #: Registered instances that a balancer calls on in each round though nobody
 #: reports from there, so that an agent without a living seed is found: one of
 #: 136 by 59 balancers within a second. It answers only if it lacks balancers.
-CALLS_A_ROUND = 1
+DISCOVERY_PER_ROUND = 1
 #: Seconds between two heartbeats that name other balancers to a process that
 #: knows some, and how many they name, drawn at random. Naming 24 in each took
 #: 56 KB/s at 98 agents, and 2.6 of 5.3 KB/s at 59 balancers every two seconds.
@@ -49,20 +49,20 @@
 NAMED_AGAIN = 4
 #: Seconds after its start when all that live have heard of a process and
 #: have told it of themselves: a naming and a heartbeat.
-KNOWN_AFTER_S = NAMING_INTERVAL_S + 0.6
+DISCOVERY_S = NAMING_INTERVAL_S + 0.6
 #: Seconds without a heartbeat after which a process counts as silent: three
 #: intervals at the longest, so that two lost datagrams don't do it.
-SILENT_S = 1.3
+HEARTBEAT_TIMEOUT_S = 1.3
 #: Seconds for which it is kept who of the balancers lives.
-LIVING_KEPT_S = 0.2
+ALIVE_CACHE_S = 0.2
 #: Rounds without a heartbeat after which a balancer counts as silent, where
 #: there are more than can be told in one round.
-SILENT_ROUNDS = 2.5
+HEARTBEAT_TIMEOUT_ROUNDS = 2.5
 #: Seconds for which it is trusted what an agent told of the flows it holds.
 #: An agent for which that changes tells everybody at once.
-TRUSTED_S = 3.0
+REPORT_VALID_S = 3.0
 #: Seconds after which a silent process is forgotten.
-FORGET_S = 30.0
+PEER_EXPIRY_S = 30.0
 #: Balancers named to a process that has started; bounds the heartbeat.
 NAMED_FIRST = 24
 _REPORT_KEY = b'teaseldock-tell1'
@@ -101,16 +101,16 @@
         self._balancers: list[peers.Peer] | None = None
         self._living: list[peers.Peer] = []
         self._living_at = 0.0
-        self.learn_seeds(seeds, now)
+        self.set_seeds(seeds, now)
 
     @property
     def peers(self) -> dict[str, peers.Peer]:
         """Return all known processes by host."""
         return self._peers
 
-    def young(self, now: float) -> bool:
+    def recently_started(self, now: float) -> bool:
         """Tell whether some processes may not have heard of this one yet."""
-        return now - self._started < KNOWN_AFTER_S
+        return now - self._started < DISCOVERY_S
 
     def balancers(self) -> list[peers.Peer]:
         """Return the known balancers."""
@@ -136,43 +136,43 @@
             peer = self._peers[host] = peers.Peer(
                 host, is_balancer=is_balancer
             )
-            peer.known_at = now
+            peer.added_at = now
             self._forget_lists()
         return peer
 
-    def learn_seeds(self, hosts: list[str], now: float) -> None:
+    def set_seeds(self, hosts: list[str], now: float) -> None:
         """Take over changed seeds."""
         self._seeds = [host for host in hosts if host != self._host]
         for host in self._seeds:
             self._learn(host, is_balancer=True, now=now)
 
-    def learn_agents(self, hosts: set[str], now: float) -> None:
+    def update_agents(self, hosts: set[str], now: float) -> None:
         """Take the instances of registered targets as agents to talk with."""
         self._registered = hosts
         for host in hosts:
             if host != self._host:
                 self._learn(host, is_balancer=False, now=now)
 
-    def learn_balancer(self, host: str, now: float) -> None:
+    def add_balancer(self, host: str, now: float) -> None:
         """Take the sender of a balancer's message as one."""
         self._learn(host, is_balancer=True, now=now)
 
-    def hear(
+    def record_heartbeat(
         self,
         host: str,
         heartbeat: control.Heartbeat,
         now: float,
         *,
-        asked: bool = False,
+        solicited: bool = False,
     ) -> peers.Peer:
         """Take over the heartbeat of a process on an instance.
 
-        :param asked: whether it answers a question.
+        :param solicited: whether it answers a question.
         """
         peer = self._learn(host, is_balancer=heartbeat.is_balancer, now=now)
         if peer.is_balancer != heartbeat.is_balancer or not peer.heartbeat:
             self._forget_lists()
-        peer.hear(heartbeat, now, asked=asked)
+        peer.record_heartbeat(heartbeat, now, solicited=solicited)
         self._newest_revision = max(self._newest_revision, heartbeat.revision)
         self._newest_alert = max(self._newest_alert, heartbeat.alerted)
         self._newest_version = max(self._newest_version, heartbeat.version)
@@ -185,8 +185,10 @@
         """Return seconds after which one of some balancers is silent."""
         rounds = -(-balancers // FAN_OUT)
         if rounds <= 1:
-            return SILENT_S
-        return max(SILENT_S, SILENT_ROUNDS * rounds * ROUND_S)
+            return HEARTBEAT_TIMEOUT_S
+        return max(
+            HEARTBEAT_TIMEOUT_S, HEARTBEAT_TIMEOUT_ROUNDS * rounds * ROUND_S
+        )
 
     def is_new(
         self, host: str, heartbeat: control.Heartbeat, now: float
@@ -204,24 +206,24 @@
         if heartbeat.is_balancer and not self._is_balancer:
             # Balancers that an agent doesn't report to call now and then.
             return False
-        after_s = SILENT_S
+        after_s = HEARTBEAT_TIMEOUT_S
         if heartbeat.is_balancer:
             after_s = self._silent_s(len(self.balancers()))
         return not peer.heard_within(after_s, now)
 
-    def wants(self, host: str, now: float) -> bool:
+    def should_report_to(self, host: str, now: float) -> bool:
         """Tell whether an agent should report to a balancer."""
-        living = self.living_balancers(now)
-        if len(living) < REPORTS_TO:
+        living = self.alive_balancers(now)
+        if len(living) < BALANCERS_PER_AGENT:
             return True
         return any(peer.host == host for peer in self.reported_to(now))
 
-    def living_balancers(self, now: float) -> list[peers.Peer]:
+    def alive_balancers(self, now: float) -> list[peers.Peer]:
         """Return the balancers that have been heard lately."""
-        if 0 <= now - self._living_at < LIVING_KEPT_S:
+        if 0 <= now - self._living_at < ALIVE_CACHE_S:
             return self._living
         known = self.balancers()
-        after_s = SILENT_S
+        after_s = HEARTBEAT_TIMEOUT_S
         if self._is_balancer:
             after_s = self._silent_s(len(known))
         self._living_at = now
@@ -241,20 +243,22 @@
 
     def named_balancers(self, now: float, count: int) -> list[str]:
         """Return some balancers to tell others of, and this one."""
-        heard = self.living_balancers(now)
+        heard = self.alive_balancers(now)
         named = self._random.sample(heard, min(count, len(heard)))
         hosts = [peer.host for peer in named]
         if self._is_balancer:
             hosts.append(self._host)
         return hosts
 
-    def due(self, now: float, *, everybody: bool) -> list[peers.Peer]:
+    def heartbeats_due(
+        self, now: float, *, all_balancers: bool
+    ) -> list[peers.Peer]:
         """Return the processes that a heartbeat is due to.
 
         Silent ones are still told in their turn, so that both halves of a
         healed partition meet again.
 
-        :param everybody: whether an agent has something to tell to all
+        :param all_balancers: whether an agent has something to tell to all
             balancers, not only to those that it reports to.
         """
         if now - self._round_at < ROUND_S:
@@ -264,7 +268,7 @@
         if self._is_balancer:
             return self._next_balancers() + self._next_agents(now)
         reported_to = self.reported_to(now)
-        if not everybody:
+        if not all_balancers:
             return reported_to
         others = [
             peer for peer in self._next_balancers() if peer not in reported_to
@@ -276,14 +280,14 @@
         count = FAN_OUT
         if not self._is_balancer:
             # An agent that reports to enough of them doesn't look for more.
-            count = REPORTS_TO - len(self.living_balancers(now))
+            count = BALANCERS_PER_AGENT - len(self.alive_balancers(now))
         if count <= 0:
             return []
-        new = [peer for peer in self.balancers() if not peer.told_at]
+        new = [peer for peer in self.balancers() if not peer.sent_at]
         return new[:count]
 
     def _next_balancers(self) -> list[peers.Peer]:
-        turn = sorted(self.balancers(), key=lambda peer: peer.told_at)
+        turn = sorted(self.balancers(), key=lambda peer: peer.sent_at)
         return turn[:FAN_OUT]
 
     def _next_agents(self, now: float) -> list[peers.Peer]:
@@ -293,11 +297,11 @@
         for peer in self._peers.values():
             if peer.is_balancer:
                 continue
-            if not peer.reports(now):
+            if not peer.is_reporting(now):
                 others.append(peer)
-            elif now - peer.told_at >= TO_AGENT_INTERVAL_S:
+            elif now - peer.sent_at >= TO_AGENT_INTERVAL_S:
                 reporting.append(peer)
-        called = min(CALLS_A_ROUND, len(others))
+        called = min(DISCOVERY_PER_ROUND, len(others))
         return reporting + self._random.sample(others, called)
 
     def reported_to(self, now: float) -> list[peers.Peer]:
@@ -313,12 +317,14 @@
             peer
             for peer in self.balancers()
             if not peer.leaving(now)
-            and not peer.deserts(now)
-            and not peer.ignorant
+            and not peer.reports_unanswered(now)
+            and not peer.has_no_state
         ]
-        if len(answering) <= REPORTS_TO:
+        if len(answering) <= BALANCERS_PER_AGENT:
             return answering or self._next_balancers()
-        return heapq.nsmallest(REPORTS_TO, answering, key=self._report_rank)
+        return heapq.nsmallest(
+            BALANCERS_PER_AGENT, answering, key=self._report_rank
+        )
 
     def _report_rank(self, peer: peers.Peer) -> bytes:
         if not peer.report_rank:
@@ -333,15 +339,17 @@
         Some balancers that are behind, drawn at random, who tell others in
         turn; and the agents that report here.
         """
-        agents = [peer for peer in self._peers.values() if peer.reports(now)]
-        living = self.living_balancers(now)
+        agents = [
+            peer for peer in self._peers.values() if peer.is_reporting(now)
+        ]
+        living = self.alive_balancers(now)
         return agents + self._random.sample(living, min(count, len(living)))
 
     def _forget(self, now: float) -> None:
         stale = [
             peer.host
             for peer in self._peers.values()
-            if now - (peer.heard_at or peer.known_at) > FORGET_S
+            if now - (peer.heard_at or peer.added_at) > PEER_EXPIRY_S
             and peer.host not in self._seeds
             and peer.host not in self._registered
         ]
@@ -350,17 +358,20 @@
         if stale:
             self._forget_lists()
 
-    def ahead(self, revision: int, now: float) -> list[peers.Peer]:
+    def peers_ahead(self, revision: int, now: float) -> list[peers.Peer]:
         """Return heard processes that know more than a revision."""
         if self._newest_revision <= revision:
             return []
         return [
             peer
             for peer in self._peers.values()
-            if peer.revision > revision and peer.heard_within(TRUSTED_S, now)
+            if peer.revision > revision
+            and peer.heard_within(REPORT_VALID_S, now)
         ]
 
-    def versions_beyond(self, version: int, now: float) -> list[peers.Peer]:
+    def peers_with_newer_version(
+        self, version: int, now: float
+    ) -> list[peers.Peer]:
         """Return heard processes that use a later configuration.
 
         Their position may be no higher: a process that began with the older
@@ -371,7 +382,8 @@
         return [
             peer
             for peer in self._peers.values()
-            if peer.version > version and peer.heard_within(TRUSTED_S, now)
+            if peer.version > version
+            and peer.heard_within(REPORT_VALID_S, now)
         ]
 
     @property
@@ -379,17 +391,20 @@
         """Return the revision of the newest alert that anybody told of."""
         return self._newest_alert
 
-    def alerted_beyond(self, revision: int, now: float) -> list[peers.Peer]:
+    def peers_with_newer_alerts(
+        self, revision: int, now: float
+    ) -> list[peers.Peer]:
         """Return heard processes that know of alerts beyond a revision."""
         if self._newest_alert <= revision:
             return []
         return [
             peer
             for peer in self._peers.values()
-            if peer.alerted > revision and peer.heard_within(TRUSTED_S, now)
+            if peer.alerted > revision
+            and peer.heard_within(REPORT_VALID_S, now)
         ]
 
-    def woke(self, pause_s: float) -> None:
+    def on_resume(self, pause_s: float) -> None:
         """Put off judgements on others: this process has stood still.
 
         What was old before the pause stays old: an agent's word on its flows,
@@ -409,7 +424,7 @@
                 peer.heartbeat.layout_revision
                 for peer in self._peers.values()
                 if peer.heartbeat is not None
-                and peer.heard_within(TRUSTED_S, now)
+                and peer.heard_within(REPORT_VALID_S, now)
             ),
             default=0,
         )
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -218,8 +218,10 @@
         """Do what is due; to be called some 20 times a second."""
         self.check_pause(now)
         self._last_tick = now
-        everybody = self._concerns_everybody(now)
-        self._tell(self._mesh.due(now, everybody=everybody), now)
+        all_balancers = self._concerns_everybody(now)
+        self._tell(
+            self._mesh.heartbeats_due(now, all_balancers=all_balancers), now
+        )
         if self._knowledge.release_evacuations(now):
             self._on_knowledge(now)
         self._exchange.pull_alerts(now)
@@ -251,8 +253,8 @@
             'paused', seconds=round(pause_s, 3), **self._flow_inputs
         )
         self._distrust_until = now + DISTRUST_S
-        self._mesh.woke(pause_s)
-        self._tell(self._mesh.due(now, everybody=False), now)
+        self._mesh.on_resume(pause_s)
+        self._tell(self._mesh.heartbeats_due(now, all_balancers=False), now)
 
     def reads(self, now: float) -> bool:
         """Tell whether this process should read the store."""
@@ -373,7 +375,7 @@
         self._note_unnamed()
         hosts = {item.host for item in self._knowledge.targets.values()}
         if self._is_balancer:
-            self._mesh.learn_agents(hosts, now)
+            self._mesh.update_agents(hosts, now)
         self._on_knowledge(now)
         from_store = source == SOURCE_STORE
         if self._is_balancer or from_store:
@@ -481,7 +483,7 @@
         heartbeat = self._heartbeat(now)
         packed: dict[int, bytes] = {}
         for peer in peers:
-            peer.told(now)
+            peer.note_heartbeat_sent(now)
             count = self._mesh.names_due(peer, now)
             if count not in packed:
                 named = self._mesh.named_balancers(now, count) if count else []
@@ -499,7 +501,7 @@
                     control.read_heartbeat(envelope.body),
                     host,
                     now,
-                    asked=bool(envelope.detail),
+                    solicited=bool(envelope.detail),
                 )
             elif envelope.kind == control.KIND_CHANGES:
                 self._exchange.on_changes(envelope.body, host, now)
@@ -523,10 +525,12 @@
         host: str,
         now: float,
         *,
-        asked: bool,
+        solicited: bool,
     ) -> None:
         new = self._mesh.is_new(host, heartbeat, now)
-        peer = self._mesh.hear(host, heartbeat, now, asked=asked)
+        peer = self._mesh.record_heartbeat(
+            host, heartbeat, now, solicited=solicited
+        )
         self._store.hear(heartbeat, now)
         self._hear_proof(heartbeat, now)
         if new:
@@ -538,7 +542,7 @@
                 revision=positions.revision(heartbeat.revision),
                 era=positions.era(heartbeat.revision),
             )
-            if self._greets(peer, now) and not asked:
+            if self._greets(peer, now) and not solicited:
                 self._tell([peer], now)
         if heartbeat.alerted > self._knowledge.alerts_upto:
             self._exchange.pull_alerts(now, source=host)
@@ -576,4 +580,4 @@
         """Tell whether a process that is new hears of this one at once."""
         if self._is_balancer:
             return True
-        return peer.is_balancer and self._mesh.wants(peer.host, now)
+        return peer.is_balancer and self._mesh.should_report_to(peer.host, now)
--- a/packages/teaseldock/teaseldock/packets/peer.py
+++ b/packages/teaseldock/teaseldock/packets/peer.py
@@ -12,19 +12,19 @@
 #: Seconds for which bad news of a process is believed (that it leaves, takes
 #: no new flows, let an opening be repeated). It is asked again then; good news
 #: reaches only those that it reports to.
-BELIEVED_S = 2.0
+NEGATIVE_STATE_TTL_S = 2.0
 #: Seconds for which an agent counts as reporting after its last report.
 REPORTING_S = 1.5
 #: Seconds without an answer to a question after which a process counts as
 #: missing: thirty round trips between data centres.
-ANSWER_S = 0.1
+ANSWER_TIMEOUT_S = 0.1
 #: Seconds for which it counts as missing; it is asked again then, since
 #: nobody else tells that it is back.
-MISSING_S = 1.0
+OVERDUE_S = 1.0
 #: Seconds without a word of a balancer that an agent reports to, until it
 #: reports to another one, and until that one is tried again.
-DESERTED_S = 1.3
-TRY_AGAIN_S = 5.0
+REPORT_TIMEOUT_S = 1.3
+REPORT_RETRY_S = 5.0
 _RANK_KEY = b'teaseldock-read2'
 
 
@@ -37,8 +37,8 @@
         self.is_balancer = is_balancer
         self.heartbeat: control.Heartbeat | None = None
         self.heard_at: float | None = None
-        self.known_at = 0.0
-        self.told_at = 0.0
+        self.added_at = 0.0
+        self.sent_at = 0.0
         self.named_at = 0.0
         self.reported_at: float | None = None
         # Since when it owes an answer to a question, or any word at all.
@@ -63,7 +63,7 @@
         return self.heartbeat.version if self.heartbeat else 0
 
     @property
-    def ignorant(self) -> bool:
+    def has_no_state(self) -> bool:
         """Tell whether the process says that it knows nothing of the store."""
         return self.heartbeat is not None and not self.heartbeat.revision
 
@@ -76,51 +76,55 @@
         """
         if self.heartbeat is None or not self.heartbeat.leaving:
             return False
-        return self.heard_within(BELIEVED_S, now)
+        return self.heard_within(NEGATIVE_STATE_TTL_S, now)
 
     def heard_within(self, seconds: float, now: float) -> bool:
         """Tell whether the process was heard in the last seconds."""
         return self.heard_at is not None and now - self.heard_at <= seconds
 
-    def reports(self, now: float) -> bool:
+    def is_reporting(self, now: float) -> bool:
         """Tell whether an agent reports here by itself."""
         if self.is_balancer or self.reported_at is None:
             return False
         return now - self.reported_at <= REPORTING_S
 
-    def missing(self, now: float) -> bool:
+    def answer_overdue(self, now: float) -> bool:
         """Tell whether the process owes the answer to a question."""
         if self.asked_at is None:
             return False
-        return ANSWER_S < now - self.asked_at < ANSWER_S + MISSING_S
+        return (
+            ANSWER_TIMEOUT_S
+            < now - self.asked_at
+            < ANSWER_TIMEOUT_S + OVERDUE_S
+        )
 
-    def asked(self, now: float) -> None:
+    def note_question_sent(self, now: float) -> None:
         """Note a question; one that waits for its answer stays the first."""
-        if self.asked_at is None or now - self.asked_at > MISSING_S:
+        if self.asked_at is None or now - self.asked_at > OVERDUE_S:
             self.asked_at = now
 
-    def told(self, now: float) -> None:
+    def note_heartbeat_sent(self, now: float) -> None:
         """Note a heartbeat to the process."""
-        self.told_at = now
+        self.sent_at = now
         if self.unheard_since is None:
             self.unheard_since = now
 
-    def deserts(self, now: float) -> bool:
+    def reports_unanswered(self, now: float) -> bool:
         """Tell whether the process has no word for whoever reports to it."""
         if self.unheard_since is None:
             return False
-        if now - self.unheard_since <= DESERTED_S:
+        if now - self.unheard_since <= REPORT_TIMEOUT_S:
             return False
-        return now - self.told_at < TRY_AGAIN_S
+        return now - self.sent_at < REPORT_RETRY_S
 
-    def hear(
-        self, heartbeat: control.Heartbeat, now: float, *, asked: bool
+    def record_heartbeat(
+        self, heartbeat: control.Heartbeat, now: float, *, solicited: bool
     ) -> None:
         """Take over what the process says of itself.
 
-        :param asked: whether it answers a question.
+        :param solicited: whether it answers a question.
         """
-        if not asked:
+        if not solicited:
             self.reported_at = now
         self.heartbeat = heartbeat
         self.is_balancer = heartbeat.is_balancer
--- a/packages/teaseldock/teaseldock/packets/readers.py
+++ b/packages/teaseldock/teaseldock/packets/readers.py
@@ -202,13 +202,13 @@
         """
         if self._ranked_at is not None:
             at, as_leaving = self._ranked_at
-            if as_leaving == leaving and 0 <= now - at < mesh.LIVING_KEPT_S:
+            if as_leaving == leaving and 0 <= now - at < mesh.ALIVE_CACHE_S:
                 return self._rank
         own = (not self._is_balancer, leaving, self._slim, self._own_rank)
         self._ranked_at = (now, leaving)
         before = [
             peer.heartbeat
-            for peer in self._mesh.living_balancers(now)
+            for peer in self._mesh.alive_balancers(now)
             if peer.heartbeat
             and (False, peer.leaving(now), peer.heartbeat.slim, peer.rank)
             < own
--- a/tests/packets/test_candidates.py
+++ b/tests/packets/test_candidates.py
@@ -140,7 +140,7 @@
     world.run(0.1)
     assert avoided(world, host) == 16
     world.start(host)
-    world.run(peer.BELIEVED_S + 0.5)
+    world.run(peer.NEGATIVE_STATE_TTL_S + 0.5)
     assert not avoided(world, host)
 
 
@@ -156,7 +156,7 @@
     world.run(0.1)
     assert avoided(world, host) == 16
     agent._server_load = take_load
-    world.run(peer.BELIEVED_S + 0.5)
+    world.run(peer.NEGATIVE_STATE_TTL_S + 0.5)
     assert not avoided(world, host)
 
 
@@ -178,5 +178,5 @@
     assert not avoided(world, host)
     for process in world.balancers():
         process.node._targets.suspect(host, world.now)
-    world.run(peer.BELIEVED_S + 0.1)
+    world.run(peer.NEGATIVE_STATE_TTL_S + 0.1)
     assert not avoided(world, host)
--- a/tests/packets/test_mesh.py
+++ b/tests/packets/test_mesh.py
@@ -27,33 +27,33 @@
         now=100.0,
     )
     for host in BALANCERS:
-        item.hear(host, heartbeat(), 100.0)
+        item.record_heartbeat(host, heartbeat(), 100.0)
     return item
 
 
-def told(item: mesh.Mesh, now: float, *, everybody: bool) -> list[str]:
+def told(item: mesh.Mesh, now: float, *, all_balancers: bool) -> list[str]:
     """Return who is told in a round, and note it."""
-    peers = item.due(now, everybody=everybody)
+    peers = item.heartbeats_due(now, all_balancers=all_balancers)
     for peer in peers:
-        peer.told(now)
+        peer.note_heartbeat_sent(now)
     return [peer.host for peer in peers]
 
 
 def test_an_agent_reports_to_the_same_few() -> None:
     """Four balancers are told in each round, as long as they answer."""
     item = agents_mesh()
-    first = told(item, 101.0, everybody=False)
-    assert len(first) == mesh.REPORTS_TO
-    assert told(item, 101.5, everybody=False) == first
+    first = told(item, 101.0, all_balancers=False)
+    assert len(first) == mesh.BALANCERS_PER_AGENT
+    assert told(item, 101.5, all_balancers=False) == first
 
 
 def test_a_balancer_that_does_not_answer_is_replaced() -> None:
     """An agent whose balancers have died reports to others."""
     item = agents_mesh()
-    first = told(item, 101.0, everybody=False)
+    first = told(item, 101.0, all_balancers=False)
     for host in first[1:]:
-        item.hear(host, heartbeat(), 102.5)
-    second = told(item, 102.6, everybody=False)
+        item.record_heartbeat(host, heartbeat(), 102.5)
+    second = told(item, 102.6, all_balancers=False)
     assert first[0] not in second
     assert set(first[1:]) < set(second)
 
@@ -68,13 +68,13 @@
     for gone after 1.5 s.
     """
     item = agents_mesh()
-    first = told(item, 101.0, everybody=False)
+    first = told(item, 101.0, all_balancers=False)
     seen: set[str] = set()
     for number in range(rounds):
         now = 101.5 + 1.1 * mesh.ROUND_S * number
         for host in BALANCERS:
-            item.hear(host, heartbeat(), now)
-        hosts = told(item, now, everybody=True)
+            item.record_heartbeat(host, heartbeat(), now)
+        hosts = told(item, now, all_balancers=True)
         assert set(first) <= set(hosts)
         seen.update(hosts)
     assert seen == set(BALANCERS)
@@ -95,11 +95,11 @@
         randomness=random.Random(1),
         now=100.0,
     )
-    item.hear('10.0.1.1', heartbeat(is_balancer=False), 100.0)
-    item.hear('10.0.1.2', heartbeat(is_balancer=False), 120.0)
-    item.woke(2.0)
-    assert not item.peers['10.0.1.1'].heard_within(mesh.TRUSTED_S, 122.0)
-    assert item.peers['10.0.1.2'].heard_within(mesh.SILENT_S, 122.0)
+    item.record_heartbeat('10.0.1.1', heartbeat(is_balancer=False), 100.0)
+    item.record_heartbeat('10.0.1.2', heartbeat(is_balancer=False), 120.0)
+    item.on_resume(2.0)
+    assert not item.peers['10.0.1.1'].heard_within(mesh.REPORT_VALID_S, 122.0)
+    assert item.peers['10.0.1.2'].heard_within(mesh.HEARTBEAT_TIMEOUT_S, 122.0)
 
 
 def test_a_round_is_bounded() -> None:
@@ -115,11 +115,11 @@
         now=100.0,
     )
     for host in BALANCERS:
-        item.hear(host, heartbeat(), 100.0)
-    item.learn_agents({f'10.0.1.{n + 1}' for n in range(200)}, 100.0)
+        item.record_heartbeat(host, heartbeat(), 100.0)
+    item.update_agents({f'10.0.1.{n + 1}' for n in range(200)}, 100.0)
     seen: set[str] = set()
     for number in range(4):
-        hosts = told(item, 101.0 + 0.5 * number, everybody=False)
-        assert len(hosts) <= mesh.FAN_OUT + mesh.CALLS_A_ROUND
+        hosts = told(item, 101.0 + 0.5 * number, all_balancers=False)
+        assert len(hosts) <= mesh.FAN_OUT + mesh.DISCOVERY_PER_ROUND
         seen.update(hosts)
     assert seen > set(BALANCERS)
--- a/tests/packets/test_pulling.py
+++ b/tests/packets/test_pulling.py
@@ -17,10 +17,10 @@
 def peer(host: str, revision: int) -> peers.Peer:
     """Return a process that told its revision."""
     item = peers.Peer(host, is_balancer=True)
-    item.hear(
+    item.record_heartbeat(
         control.Heartbeat(True, 1, False, revision, 0, False, None, b''),
         100.0,
-        asked=False,
+        solicited=False,
     )
     return item
 
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -87,14 +87,14 @@
     revision = node.knowledge.content_revision
     alerted = node.knowledge.alerted
 
-    def hear_as_before(heartbeat, host, now, *, asked):
+    def hear_as_before(heartbeat, host, now, *, solicited):
         age_ms = round(1000 * (now - since))
         heartbeat = heartbeat._replace(
             revision=min(revision, heartbeat.revision),
             alerted=min(alerted, heartbeat.alerted),
             alerts_age_ms=max(age_ms, heartbeat.alerts_age_ms),
         )
-        hear(heartbeat, host, now, asked=asked)
+        hear(heartbeat, host, now, solicited=solicited)
 
     node._hear = hear_as_before
 
--- a/tests/packets/test_thin_views.py
+++ b/tests/packets/test_thin_views.py
@@ -47,6 +47,6 @@
     play: typing.Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each test of flows holds as it does where all hear all."""
-    monkeypatch.setattr(mesh, 'REPORTS_TO', 1)
+    monkeypatch.setattr(mesh, 'BALANCERS_PER_AGENT', 1)
     monkeypatch.setattr(mesh, 'FAN_OUT', 2)
     play()
