--- a/bench/packet_news.py
+++ b/bench/packet_news.py
@@ -268,7 +268,7 @@
         hosts = [
             host
             for host, process in self.world.processes.items()
-            if process.node.reads(self.world.now)
+            if process.node.reads_store(self.world.now)
         ]
         self.restart(hosts)
 
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -120,7 +120,7 @@
     def _send_search(self, host: str, datagram: bytes) -> None:
         self._send(host, datagram, control_budget.Purpose.SEARCH)
 
-    def _concerns_everybody(self, now: float) -> bool:
+    def _reports_to_all(self, now: float) -> bool:
         """Tell whether all balancers must know of the flows held here.
 
         They ask the servers that have an entry, and those that a route names.
@@ -158,14 +158,14 @@
         """Return the requests at the backend server and those that wait."""
         return self._admission.queue
 
-    def _on_knowledge(self, now: float) -> None:
+    def _on_store_change(self, now: float) -> None:
         before = self._own_target
         target = self._own_target = self._find_own_target()
         self._learn_warmth(now)
         if target is None:
             # Its entry expired; the slots stay what they were.
             if before is not None:
-                self._tell(self._mesh.balancers(), now)
+                self._send_heartbeats(self._mesh.balancers(), now)
             return
         self._admission.set_slots(target.slots)
         if target.run == self._served_run:
@@ -386,7 +386,7 @@
         if not known and self._is_moved(address):
             # Opened by a balancer that lags. Others ask here only if they
             # hear of it, which must not wait for the next heartbeat.
-            self._tell(self._mesh.balancers(), now)
+            self._send_heartbeats(self._mesh.balancers(), now)
 
     def _on_unseen_reset(self, item: packet.Packet, now: float) -> None:
         self._meters.counters['resets_kept_back'] += 1
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -95,7 +95,7 @@
         for waiting in self._inquiries.answered(peer.host):
             self._place_asked(waiting, now)
 
-    def _on_knowledge(self, now: float) -> None:
+    def _on_store_change(self, now: float) -> None:
         self._targets.refresh(now)
         self._ask_vanished(now)
         self._serve_early(now)
@@ -152,7 +152,7 @@
             self._ask(host, now)
 
     def _serve_early(self, now: float) -> None:
-        if not self._early or self.distrusts(now):
+        if not self._early or self.is_resyncing(now):
             return
         if not self._knowledge.usable:
             return
@@ -165,7 +165,7 @@
     def on_packet(self, item: packet.Packet, now: float) -> None:
         """Handle a caller's packet from the fabric."""
         self._meters.counters['packets'] += 1
-        if not self._knowledge.usable or self.distrusts(now):
+        if not self._knowledge.usable or self.is_resyncing(now):
             self._early.append((item, now))
             return
         route = self._knowledge.route(flows.service_of(item.flow))
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -28,12 +28,12 @@
 #: Balancers that are told at once of something new, and twice as many by who
 #: read it from the store. Each of them tells others: 4 reach 59 balancers in
 #: three generations of 3 ms.
-NOTIFIED = 4
+NOTIFY_FAN_OUT = 4
 #: A gap between two ticks beyond this is a pause of this process, seconds.
 PAUSE_S = 1.0
 #: Seconds after a pause before the process acts on what it knew: thirty round
 #: trips between data centres, in which peers send what changed meanwhile.
-DISTRUST_S = 0.1
+RESYNC_S = 0.1
 #: Where changes came from, if not from a process.
 SOURCE_STORE = 'store'
 
@@ -174,7 +174,7 @@
     ) -> None:
         """Handle a datagram with a caller's packet."""
 
-    def _on_knowledge(self, now: float) -> None:
+    def _on_store_change(self, now: float) -> None:
         """Take over changed knowledge."""
 
     def _on_heartbeat(self, peer: peers.Peer, now: float) -> None:
@@ -192,7 +192,7 @@
         """Return what is to be told of the flows held here."""
         return holdings.NOTHING_KNOWN
 
-    def _concerns_everybody(self, now: float) -> bool:
+    def _reports_to_all(self, now: float) -> bool:
         """Tell whether all balancers have to hear this process."""
         return False
 
@@ -202,10 +202,10 @@
             return
         self._leaving = True
         self._reporter.note('leaving', **self._flow_inputs)
-        self._tell(self._mesh.balancers(), now)
-        self._tell(self._mesh.to_notify(0, now), now)
+        self._send_heartbeats(self._mesh.balancers(), now)
+        self._send_heartbeats(self._mesh.to_notify(0, now), now)
 
-    def distrusts(self, now: float) -> bool:
+    def is_resyncing(self, now: float) -> bool:
         """Tell whether what is known may be older than it looks."""
         return now < self._distrust_until
 
@@ -218,12 +218,12 @@
         """Do what is due; to be called some 20 times a second."""
         self.check_pause(now)
         self._last_tick = now
-        all_balancers = self._concerns_everybody(now)
-        self._tell(
+        all_balancers = self._reports_to_all(now)
+        self._send_heartbeats(
             self._mesh.heartbeats_due(now, all_balancers=all_balancers), now
         )
         if self._knowledge.release_evacuations(now):
-            self._on_knowledge(now)
+            self._on_store_change(now)
         self._exchange.pull_alerts(now)
         self._exchange.pull(now)
         self.read_if_due(now)
@@ -252,11 +252,13 @@
         self._reporter.note(
             'paused', seconds=round(pause_s, 3), **self._flow_inputs
         )
-        self._distrust_until = now + DISTRUST_S
+        self._distrust_until = now + RESYNC_S
         self._mesh.on_resume(pause_s)
-        self._tell(self._mesh.heartbeats_due(now, all_balancers=False), now)
+        self._send_heartbeats(
+            self._mesh.heartbeats_due(now, all_balancers=False), now
+        )
 
-    def reads(self, now: float) -> bool:
+    def reads_store(self, now: float) -> bool:
         """Tell whether this process should read the store."""
         return self._why_read(now) is not None
 
@@ -376,10 +378,12 @@
         hosts = {item.host for item in self._knowledge.targets.values()}
         if self._is_balancer:
             self._mesh.update_agents(hosts, now)
-        self._on_knowledge(now)
+        self._on_store_change(now)
         from_store = source == SOURCE_STORE
         if self._is_balancer or from_store:
-            self._notify(2 * NOTIFIED if from_store else NOTIFIED, now)
+            self._notify(
+                2 * NOTIFY_FAN_OUT if from_store else NOTIFY_FAN_OUT, now
+            )
         return True
 
     def _note_era(self, before: int, source: str) -> None:
@@ -419,9 +423,9 @@
             evacuated=sorted(self._knowledge.evacuated),
             **self._flow_inputs,
         )
-        self._on_knowledge(now)
+        self._on_store_change(now)
         if self._is_balancer:
-            self._notify(NOTIFIED, now)
+            self._notify(NOTIFY_FAN_OUT, now)
 
     def _notify(self, balancers: int, now: float) -> None:
         """Tell some at once that there is something new for them to ask for.
@@ -436,7 +440,7 @@
             told = self._mesh.to_notify(balancers, now)
         else:
             told = self._mesh.reported_to(now)
-        self._tell(told, now, purpose=notice)
+        self._send_heartbeats(told, now, purpose=notice)
 
     def _note_unnamed(self) -> None:
         unnamed = self._knowledge.unnamed
@@ -471,7 +475,7 @@
             self._version_proof.age_ms(now),
         )
 
-    def _tell(
+    def _send_heartbeats(
         self,
         peers: list[peers.Peer],
         now: float,
@@ -497,7 +501,7 @@
         try:
             envelope = control.unpack(datagram)
             if envelope.kind == control.KIND_HEARTBEAT:
-                self._hear(
+                self._handle_heartbeat(
                     control.read_heartbeat(envelope.body),
                     host,
                     now,
@@ -519,7 +523,7 @@
             self._meters.counters[f'dropped_{error.code}'] += 1
             self._reporter.note('datagram dropped', host=host, why=str(error))
 
-    def _hear(
+    def _handle_heartbeat(
         self,
         heartbeat: control.Heartbeat,
         host: str,
@@ -543,7 +547,7 @@
                 era=positions.era(heartbeat.revision),
             )
             if self._greets(peer, now) and not solicited:
-                self._tell([peer], now)
+                self._send_heartbeats([peer], now)
         if heartbeat.alerted > self._knowledge.alerts_upto:
             self._exchange.pull_alerts(now, source=host)
         if (
@@ -559,7 +563,7 @@
         Not of what waited while this process stood still: its age counts from
         when it was sent, and would look younger than an alert that is missing.
         """
-        if self.distrusts(now):
+        if self.is_resyncing(now):
             return
         self._version_proof.hear(
             heartbeat.version,
--- a/tests/packets/test_freshness.py
+++ b/tests/packets/test_freshness.py
@@ -129,7 +129,9 @@
     """
     world = packet_world.small_world(balancers=6, servers=6)
     process = next(
-        item for item in world.balancers() if not item.node.reads(world.now)
+        item
+        for item in world.balancers()
+        if not item.node.reads_store(world.now)
     )
     process.node._exchange.on_changes = lambda *_: None
     process.node._exchange.on_alerts = lambda *_: None
--- a/tests/packets/test_older_copy.py
+++ b/tests/packets/test_older_copy.py
@@ -251,7 +251,7 @@
             hosts = [
                 process.host
                 for process in world.balancers()
-                if process.node.reads(world.now)
+                if process.node.reads_store(world.now)
             ]
         if trouble in ('readers', 'third'):
             for host in hosts[::3] if trouble == 'third' else hosts:
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -21,7 +21,7 @@
     reading = [
         process.host
         for process in world.balancers()
-        if process.node.reads(world.now)
+        if process.node.reads_store(world.now)
     ]
     assert len(reading) == readers.READERS
     last = {}
@@ -42,7 +42,7 @@
     """The death of both readers shows in the counters of who follows."""
     world = packet_world.small_world(balancers=6, servers=6)
     for process in list(world.balancers()):
-        if process.node.reads(world.now):
+        if process.node.reads_store(world.now):
             world.kill(process.host)
     world.run(4.0)
     counters = [p.node.meters.counters for p in world.balancers()]
@@ -82,7 +82,7 @@
 ) -> None:
     """Let a process hear nobody who knows more than it does itself."""
     node = process.node
-    hear = node._hear
+    hear = node._handle_heartbeat
     since = world.now
     revision = node.knowledge.content_revision
     alerted = node.knowledge.alerted
@@ -96,7 +96,7 @@
         )
         hear(heartbeat, host, now, solicited=solicited)
 
-    node._hear = hear_as_before
+    node._handle_heartbeat = hear_as_before
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
     )
     host = sorted(world.servers)[3]
     process = world.processes[host]
-    process.node._concerns_everybody = lambda now: True
+    process.node._reports_to_all = lambda now: True
     world.run(3.0)
     _never_told(process)
     assert _seconds_until_known(world, process, host) <= bound_s
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -46,7 +46,7 @@
     readers = {
         process.host
         for process in world.balancers()
-        if process.node.reads(world.now)
+        if process.node.reads_store(world.now)
     }
     assert len(readers) == 2
     for host in readers:
@@ -74,7 +74,7 @@
     readers = {
         process.host
         for process in world.balancers()
-        if process.node.reads(world.now)
+        if process.node.reads_store(world.now)
     }
     assert readers == wide
     for host in wide:
