--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -70,7 +70,7 @@
     usable = candidates.Candidates(
         known, new_mesh(), store_state.StoreState(), data_centre='dc-0'
     )
-    hint = hints.Hint('dispatch', hints.Place.OPENING)
+    hint = hints.Hint('dispatch', hints.HintState.OPENING)
 
     def place(number: int) -> None:
         seen = usable.for_new_flow(number.to_bytes(12, 'big'), hint, 0.1)
@@ -115,7 +115,7 @@
     world = packet_world.small_world()
     feed = world.request(feed=True)
     world.run(1.0)
-    process = next(p for p in world.balancers() if p.node.flows_remembered)
+    process = next(p for p in world.balancers() if p.node.hinted_flows)
     item = packet_codec.made(feed.flow, length=1, sequence=1)
     process.to_process = lambda host, datagram: None
     return 1e6 * seconds_each(
@@ -154,7 +154,7 @@
     usable = candidates.Candidates(
         known, processes, store_state.StoreState(), data_centre='dc-0'
     )
-    hint = hints.Hint('service-0', hints.Place.SEARCHED)
+    hint = hints.Hint('service-0', hints.HintState.SEARCHED)
     hosts = usable.holders(flow(1), hint, 0.1)
     assert len(hosts) == -(-targets // 50)
     return 1e6 * seconds_each(
@@ -187,7 +187,7 @@
         'bytes_a_hint': round(
             bytes_each(
                 lambda n: remembered.add(
-                    n.to_bytes(12, 'big'), 'dispatch', hints.Place.HINTED
+                    n.to_bytes(12, 'big'), 'dispatch', hints.HintState.HINTED
                 ),
                 FLOWS,
             )
--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -41,7 +41,7 @@
         self,
         tracker: tracking.Tracker,
         known: knowledge.Knowledge,
-        warmth: warming.Warming,
+        warmth: warming.ColdLimiter,
         *,
         to_server: ToServer,
         inputs: Inputs,
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -63,7 +63,7 @@
         self._port = port
         self._tag = control.service_tag(service)
         self._tracker = tracking.Tracker(now)
-        self._warming = warming.Warming(now)
+        self._warming = warming.ColdLimiter(now)
         self._was_evacuated = False
         self._admission = admission.Admission(
             self._tracker,
@@ -180,10 +180,10 @@
             limit = configuration.cold_limit(self._service)
             self._warming.set_limit(limit)
         if self._own_target is not None:
-            self._warming.take_entry(self._own_target, now)
+            self._warming.update_entry(self._own_target, now)
         evacuated = self._is_evacuated()
         if self._was_evacuated and not evacuated:
-            self._warming.suppose_cold(now)
+            self._warming.assume_cold(now)
         self._was_evacuated = evacuated
 
     def _is_evacuated(self) -> bool:
@@ -268,12 +268,12 @@
             )
         elif envelope.kind == control.KIND_PROBE:
             self._on_probe(envelope, host, now)
-        elif envelope.kind == control.KIND_ASK:
+        elif envelope.kind == control.KIND_GET_LOAD:
             self._on_ask(host, now)
         elif envelope.kind == control.KIND_LOCATED:
             self._relay.on_located(envelope, host)
         elif envelope.kind == control.KIND_RELAY:
-            errand = control.read_errand(envelope)
+            errand = control.read_relay_request(envelope)
             flow = self._outlet.read_packet(errand.raw).flow
             self._relay.begin(errand, flow, host, now)
         else:
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -26,8 +26,8 @@
 #: they stay useful: by then the caller has sent a copy. Refusing them would
 #: use up the tries of callers that come back at once; after a loss of power
 #: 40 did so within the 0.1 s that it takes to hear from the store.
-EARLY_KEPT = 512
-EARLY_S = 0.2
+MAX_EARLY_PACKETS = 512
+EARLY_PACKET_TTL_S = 0.2
 #: Seconds without a word of any agent after which some are asked, and how
 #: many: a balancer that no agent reports to must know whether it is cut off.
 QUIET_S = 0.5
@@ -67,11 +67,11 @@
         self._agent_heard_at = 0.0
         self._asked_quiet_at = 0.0
         self._early: collections.deque[tuple[packet.Packet, float]] = (
-            collections.deque(maxlen=EARLY_KEPT)
+            collections.deque(maxlen=MAX_EARLY_PACKETS)
         )
 
     @property
-    def flows_remembered(self) -> int:
+    def hinted_flows(self) -> int:
         """Return of how many flows the place is remembered."""
         return len(self._hints)
 
@@ -122,7 +122,7 @@
             peer.note_question_sent(now)
         self._send(
             host,
-            control.pack(control.KIND_ASK, 0, 0, b''),
+            control.pack(control.KIND_GET_LOAD, 0, 0, b''),
             control_budget.Purpose.QUESTION,
         )
 
@@ -159,7 +159,7 @@
         early = list(self._early)
         self._early.clear()
         for item, at in early:
-            if now - at < EARLY_S:
+            if now - at < EARLY_PACKET_TTL_S:
                 self.on_packet(item, now)
 
     def on_packet(self, item: packet.Packet, now: float) -> None:
@@ -178,13 +178,15 @@
             return
         if hint is None:
             service = self._service_of(route, item.flow)
-            hint = self._hints.add(item.flow, service, hints.Place.SEARCHED)
-        if hint.place is hints.Place.OPENING:
+            hint = self._hints.add(
+                item.flow, service, hints.HintState.SEARCHED
+            )
+        if hint.state is hints.HintState.OPENING:
             # It has opened; a copy that still waits must not move it.
             self._inquiries.drop(item.flow)
-        if hint.place is hints.Place.SEARCHED:
+        if hint.state is hints.HintState.SEARCHED:
             self._locator.search(item, hint, now)
-        elif hint.place is hints.Place.LOST:
+        elif hint.state is hints.HintState.LOST:
             self._locator.reset(item)
         else:
             self._forward(item, hint)
@@ -208,9 +210,9 @@
             self._refuse(item, 'no route')
             return
         hint = self._hints.get(item.flow)
-        if hint is None or hint.place is not hints.Place.OPENING:
+        if hint is None or hint.state is not hints.HintState.OPENING:
             service = self._service_of(route, item.flow)
-            hint = self._hints.add(item.flow, service, hints.Place.OPENING)
+            hint = self._hints.add(item.flow, service, hints.HintState.OPENING)
         elif item.acknowledged and hint.host is not None:
             # A copy comes when nothing has answered for 200 ms: the server is
             # silent or gone, or a packet was lost. Asking another one costs
@@ -247,11 +249,11 @@
             self._forward(item, hint)
             return
         if not usable:
-            self._refuse(item, self._targets.why_none(hint.service))
+            self._refuse(item, self._targets.refusal_reason(hint.service))
             return
         end = group * placing.CANDIDATES
         members = usable[end - placing.CANDIDATES : end]
-        asked = inquiry.whom_to_ask(members)
+        asked = inquiry.candidates_to_query(members)
         if asked and self._may_ask(now):
             self._inquire(item, hint, members, asked, group, now)
             return
@@ -270,7 +272,7 @@
         group: int,
         now: float,
     ) -> None:
-        enough = min(inquiry.ENOUGH, len(members))
+        enough = min(inquiry.ENOUGH_ANSWERS, len(members))
         hosts = [member.target.host for member in asked]
         self._inquiries.add(
             inquiry.Inquiry(
@@ -278,7 +280,7 @@
                 hint,
                 hosts=hosts,
                 group=group,
-                lacking=enough - (len(members) - len(asked)),
+                answers_missing=enough - (len(members) - len(asked)),
                 now=now,
             )
         )
@@ -313,7 +315,7 @@
         chosen = placing.pick(
             answered or looked, data_centre=self._data_centre
         )
-        more = len(usable) > len(looked) and group < inquiry.GROUPS
+        more = len(usable) > len(looked) and group < inquiry.MAX_GROUPS
         if answered and more and placing.is_loaded(chosen):
             self._place(item, hint, now, group=group + 1)
             return
@@ -369,7 +371,7 @@
                 self._locator.on_located(envelope, hint, host, now)
             return
         if envelope.kind == control.KIND_RELAYED:
-            outcome = control.read_outcome(envelope.body)
+            outcome = control.read_relay_result(envelope.body)
             hint = self._hints.get(outcome.flow)
             if hint is not None:
                 self._locator.on_relayed(envelope, outcome, hint, now)
@@ -388,7 +390,7 @@
         self, item: packet.Packet, hint: hints.Hint, host: str, now: float
     ) -> None:
         """Look elsewhere for a flow whose target does not hold it."""
-        if hint.place is hints.Place.LOST:
+        if hint.state is hints.HintState.LOST:
             self._locator.reset(item)
             return
         hint.denied.add(host)
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -23,7 +23,7 @@
 #: Placements remembered for each target; more than the reports of 0.4 s miss.
 PLACEMENTS_KEPT = 64
 #: Targets that a new flow may get to see, the first in its order.
-SAMPLE = placing.CANDIDATES * inquiry.GROUPS
+MAX_CANDIDATES = placing.CANDIDATES * inquiry.MAX_GROUPS
 #: Agents among which those are chosen that ask others about a flow: one for
 #: each 40 targets, and others in turn if they are silent.
 RELAYS = 16
@@ -69,8 +69,8 @@
         self._warm_at: dict[Run, _Warmth] = {}
         self._suspected: dict[str, float] = {}
         # Of targets that may get new flows, and of all that may hold old ones.
-        self._placeable_orders = ranking.Orders()
-        self._holder_orders = ranking.Orders()
+        self._placeable_orders = ranking.RankingCache()
+        self._holder_orders = ranking.RankingCache()
 
     def refresh(self, now: float) -> None:
         """Take over changed entries."""
@@ -123,7 +123,7 @@
             return False
         return suspected_at > (peer.heard_at or 0.0)
 
-    def near(self, flow: bytes) -> str | None:
+    def preferred_data_centre(self, flow: bytes) -> str | None:
         """Return the data centre that a flow should stay in, if any."""
         route = self._knowledge.route(flows.service_of(flow))
         if route is None or route.kind != records.RequestKind.UPLOAD:
@@ -139,13 +139,15 @@
         )
         accepting = [item for item in first if _accepts(item)]
         if accepting:
-            return accepting[:SAMPLE]
+            return accepting[:MAX_CANDIDATES]
         # The first in the order are away, or take nothing.
         targets = self._placeable(hint.service, now)
-        order = placing.ranked(flow, targets, near=self.near(flow))
+        order = placing.ranked(
+            flow, targets, near=self.preferred_data_centre(flow)
+        )
         others = self._candidates(order, hint, now)
         accepting = [item for item in others if _accepts(item)]
-        return (accepting or others)[:SAMPLE]
+        return (accepting or others)[:MAX_CANDIDATES]
 
     def _candidates(
         self, targets: list[records.Target], hint: hints.Hint, now: float
@@ -159,13 +161,13 @@
     def _first(
         self, flow: bytes, service: str, now: float
     ) -> list[records.Target]:
-        near = self.near(flow)
+        near = self.preferred_data_centre(flow)
         targets = self._knowledge.placeable(service)
         first = self._placeable_orders.first(flow, service, targets, near=near)
         lapsed = self._lapsed(service, now)
         if lapsed:
             first = placing.ranked(
-                flow, first + lapsed, near=near, count=ranking.KEPT
+                flow, first + lapsed, near=near, count=ranking.CACHED_TARGETS
             )
         return [item for item in first if not self.is_silent(item, now)]
 
@@ -180,7 +182,7 @@
         alive = [item for item in targets if not self.is_silent(item, now)]
         return alive or targets
 
-    def why_none(self, service: str) -> str:
+    def refusal_reason(self, service: str) -> str:
         """Return why no target of a service may get a new flow."""
         evacuated = self._knowledge.evacuated
         for target in self._knowledge.of_service(service):
@@ -232,7 +234,10 @@
         for service in dict.fromkeys(services):
             of_service = self._knowledge.of_service(service)
             targets += self._holder_orders.first(
-                flow, service, of_service, near=self.near(flow)
+                flow,
+                service,
+                of_service,
+                near=self.preferred_data_centre(flow),
             )
             targets += of_service
         targets.sort(key=lambda target: target.host not in hint.tried)
@@ -285,7 +290,7 @@
         ]
         return hosts
 
-    def lags(self, told: int, now: float) -> bool:
+    def is_behind(self, told: int, now: float) -> bool:
         """Tell whether others know of places that this balancer doesn't.
 
         So does a balancer that has just started while entries expire for want
--- a/packages/teaseldock/teaseldock/packets/control.py
+++ b/packages/teaseldock/teaseldock/packets/control.py
@@ -44,13 +44,13 @@
 #: detail tells whether they hold the flow.
 KIND_RELAYED = 9
 #: The question how busy an agent's server is; a heartbeat answers it.
-KIND_ASK = 10
+KIND_GET_LOAD = 10
 #: The request for changes beyond a revision, which is the body.
-KIND_WANT = 11
+KIND_GET_CHANGES = 11
 #: The answer to it of a process that has sent enough: who else has them.
-KIND_REFER = 12
+KIND_REFERRAL = 12
 #: The request for alerts beyond a revision, which is the body, and the answer.
-KIND_WANT_ALERTS = 13
+KIND_GET_ALERTS = 13
 KIND_ALERTS = 14
 #: Bytes of an IPv4 address, and of a flow's key.
 _HOST_BYTES = 4
@@ -133,7 +133,7 @@
     body: bytes
 
 
-class Errand(typing.NamedTuple):
+class RelayRequest(typing.NamedTuple):
     """A request to ask other agents on behalf of a balancer.
 
     :ivar hosts: instances to ask.
@@ -156,7 +156,7 @@
     layout_revision: int
 
 
-class Outcome(typing.NamedTuple):
+class RelayResult(typing.NamedTuple):
     """What came of an errand.
 
     :ivar flow: the flow's key.
@@ -182,13 +182,13 @@
     ]
 
 
-def pack_errand(errand: Errand) -> bytes:
+def pack_relay_request(errand: RelayRequest) -> bytes:
     """Return an errand as a datagram."""
     head = bytes([len(errand.hosts)]) + pack_hosts(errand.hosts)
     return pack(KIND_RELAY, 0, 0, head + errand.raw)
 
 
-def read_errand(envelope: Envelope) -> Errand:
+def read_relay_request(envelope: Envelope) -> RelayRequest:
     """Read an errand.
 
     :raises MessageError: if the bytes are none.
@@ -201,7 +201,7 @@
             f'{len(body)} bytes hold no hosts and packet',
             remedy='run one version on all processes; it was dropped',
         )
-    return Errand(read_hosts(body[1:end]), body[end:])
+    return RelayRequest(read_hosts(body[1:end]), body[end:])
 
 
 def pack_located(holding: int, tag: int, answer: Located) -> bytes:
@@ -227,7 +227,7 @@
     return Located(body[:_FLOW_BYTES], read_revision(body[_FLOW_BYTES:]))
 
 
-def pack_outcome(holding: int, tag: int, outcome: Outcome) -> bytes:
+def pack_relay_result(holding: int, tag: int, outcome: RelayResult) -> bytes:
     """Return the outcome of an errand as a datagram."""
     body = (
         outcome.flow
@@ -237,7 +237,7 @@
     return pack(KIND_RELAYED, holding, tag, body)
 
 
-def read_outcome(body: bytes) -> Outcome:
+def read_relay_result(body: bytes) -> RelayResult:
     """Read the outcome of an errand.
 
     :raises MessageError: if the bytes are none.
@@ -250,21 +250,21 @@
             f'{len(body)} bytes hold no flow and hosts',
             remedy='run one version on all processes; it was dropped',
         )
-    return Outcome(
+    return RelayResult(
         body[:_FLOW_BYTES],
         read_revision(body[_FLOW_BYTES:start]),
         read_hosts(body[start:]),
     )
 
 
-def pack_want(revision: int) -> bytes:
+def pack_get_changes(revision: int) -> bytes:
     """Return the request for all changes beyond a revision."""
-    return pack(KIND_WANT, 0, 0, _REVISION.pack(revision))
+    return pack(KIND_GET_CHANGES, 0, 0, _REVISION.pack(revision))
 
 
-def pack_want_alerts(revision: int) -> bytes:
+def pack_get_alerts(revision: int) -> bytes:
     """Return the request for all alerts beyond a revision."""
-    return pack(KIND_WANT_ALERTS, 0, 0, _REVISION.pack(revision))
+    return pack(KIND_GET_ALERTS, 0, 0, _REVISION.pack(revision))
 
 
 def pack_alerts(alerts: records.Alerts) -> bytes:
@@ -289,7 +289,7 @@
 
 def pack_referral(host: str) -> bytes:
     """Return the advice to ask another process for changes."""
-    return pack(KIND_REFER, 0, 0, pack_hosts([host]))
+    return pack(KIND_REFERRAL, 0, 0, pack_hosts([host]))
 
 
 def read_referral(body: bytes) -> str:
--- a/packages/teaseldock/teaseldock/packets/control_budget.py
+++ b/packages/teaseldock/teaseldock/packets/control_budget.py
@@ -39,7 +39,7 @@
 #: Megabits a second below which a process should not read the store for
 #: others: a configuration of 1,600 routes comes as some 300 KB, 50 ms at 50
 #: Mbit/s and 1.2 s at 2, in which callers' packets wait behind it.
-WIDE_MBPS = 50.0
+MIN_READER_LINK_MBPS = 50.0
 #: Megabits a second assumed of a link that the settings don't tell.
 UNKNOWN_LINK_MBPS = 1000.0
 _BYTES_PER_MEGABIT = 125_000.0
@@ -95,7 +95,7 @@
 }
 #: Largest datagram between processes, with headers: a share must have room for
 #: it, so that it never goes into debt by what is allowed.
-LARGEST_BYTES = 1428
+MAX_DATAGRAM_BYTES = 1428
 
 
 class ControlBudget:
@@ -106,7 +106,7 @@
 
         :param link_mbps: speed of this instance's link, megabits a second.
         """
-        self._slim = link_mbps < WIDE_MBPS
+        self._slim = link_mbps < MIN_READER_LINK_MBPS
         link_share = LINK_SHARE * link_mbps * _BYTES_PER_MEGABIT
         whole = Share(
             min(BYTES_PER_S, link_share),
@@ -148,7 +148,7 @@
             return True
         if purpose is Purpose.SEARCH:
             return self._searches.left(now) > 0
-        if self._shares[purpose].left(now) >= LARGEST_BYTES:
+        if self._shares[purpose].left(now) >= MAX_DATAGRAM_BYTES:
             return True
         reserve = RESERVES[purpose] * self._burst
         return self._general.left(now) > reserve
--- a/packages/teaseldock/teaseldock/packets/exchanging.py
+++ b/packages/teaseldock/teaseldock/packets/exchanging.py
@@ -110,7 +110,7 @@
         self._meters.counters['alerts_wanted'] += 1
         self._send(
             source,
-            control.pack_want_alerts(own),
+            control.pack_get_alerts(own),
             control_budget.Purpose.ALERT,
         )
 
@@ -165,7 +165,7 @@
             self._meters.counters['changes_wanted_whole'] += 1
         self._send(
             host,
-            control.pack_want(since),
+            control.pack_get_changes(since),
             control_budget.Purpose.QUESTION,
         )
 
--- a/packages/teaseldock/teaseldock/packets/hints.py
+++ b/packages/teaseldock/teaseldock/packets/hints.py
@@ -12,10 +12,10 @@
     from teaseldock.packets import searching
 
 #: Flows of which a balancer remembers where they are; about 500 bytes each.
-FLOWS_REMEMBERED = 40_000
+MAX_HINTS = 40_000
 
 
-class Place(enum.Enum):
+class HintState(enum.Enum):
     """What a balancer believes of a flow."""
 
     OPENING = 'opening'
@@ -30,7 +30,7 @@
     :ivar service: the service that new flows of its address go to. An older
         flow may be at another one, see :mod:`teaseldock.packets.holdings`.
     :ivar tag: of the service whose agents take the flow's packets.
-    :ivar place: what is believed of it.
+    :ivar state: what is believed of it.
     :ivar host: instance that its packets go to, if that is known.
     :ivar tried: hosts that an opening was sent to without an answer so far.
     :ivar denied: hosts whose server or agent said that it isn't there.
@@ -40,18 +40,18 @@
     __slots__ = (
         'service',
         'tag',
-        'place',
+        'state',
         'host',
         'tried',
         'denied',
         'search',
     )
 
-    def __init__(self, service: str, place: Place) -> None:
+    def __init__(self, service: str, state: HintState) -> None:
         """Start without an instance."""
         self.service = service
         self.tag = control.service_tag(service)
-        self.place = place
+        self.state = state
         self.host: str | None = None
         self.tried: list[str] = []
         self.denied: set[str] = set()
@@ -75,12 +75,12 @@
         """Return the hint of a flow, or None."""
         return self._hints.get(flow)
 
-    def add(self, flow: bytes, service: str, place: Place) -> Hint:
+    def add(self, flow: bytes, service: str, state: HintState) -> Hint:
         """Return a new hint for a flow, in place of any older one."""
-        hint = Hint(service, place)
+        hint = Hint(service, state)
         self._hints[flow] = hint
         self._hints.move_to_end(flow)
-        if len(self._hints) > FLOWS_REMEMBERED:
+        if len(self._hints) > MAX_HINTS:
             self._hints.popitem(last=False)
         return hint
 
--- a/packages/teaseldock/teaseldock/packets/inquiry.py
+++ b/packages/teaseldock/teaseldock/packets/inquiry.py
@@ -24,24 +24,26 @@
 FRESH_S = 0.03
 #: Answers with which a flow is placed; the second of two random choices brings
 #: most of the gain, and a dead candidate then delays nothing.
-ENOUGH = 2
+ENOUGH_ANSWERS = 2
 #: Seconds after which a flow is placed by the answers that are there: five
 #: round trips between data centres, a tenth of what a request may take.
-PATIENCE_S = 0.015
+ANSWER_WAIT_S = 0.015
 #: Groups of candidates that are looked at while all of them are loaded.
-GROUPS = 3
+MAX_GROUPS = 3
 #: Flows that wait for answers at a time; the oldest is placed without.
-WAITING_KEPT = 1000
+MAX_WAITING = 1000
 
 
 def is_fresh(candidate: placing.Candidate) -> bool:
     """Tell whether a report is recent enough to place by."""
     if candidate.reported is None:
         return False
-    return candidate.age_s <= FRESH_S + PATIENCE_S
+    return candidate.age_s <= FRESH_S + ANSWER_WAIT_S
 
 
-def whom_to_ask(group: list[placing.Candidate]) -> list[placing.Candidate]:
+def candidates_to_query(
+    group: list[placing.Candidate],
+) -> list[placing.Candidate]:
     """Return the candidates that must be asked before one is chosen.
 
     :returns: nobody if enough of them have told lately.
@@ -49,7 +51,7 @@
     stale = [
         item for item in group if item.reported is None or item.age_s > FRESH_S
     ]
-    if len(group) - len(stale) >= min(ENOUGH, len(group)):
+    if len(group) - len(stale) >= min(ENOUGH_ANSWERS, len(group)):
         return []
     return stale
 
@@ -60,7 +62,7 @@
     :ivar item: the opening packet.
     :ivar hint: what is remembered of the flow.
     :ivar group: number of the group of candidates, from 1.
-    :ivar lacking: answers without which the flow waits on.
+    :ivar answers_missing: answers without which the flow waits on.
     """
 
     def __init__(
@@ -70,14 +72,14 @@
         *,
         hosts: list[str],
         group: int,
-        lacking: int,
+        answers_missing: int,
         now: float,
     ) -> None:
         """Start with all of the hosts asked."""
         self.item = item
         self.hint = hint
         self.group = group
-        self.lacking = lacking
+        self.answers_missing = answers_missing
         self._hosts = set(hosts)
         self._began = now
 
@@ -86,12 +88,12 @@
         if host not in self._hosts:
             return False
         self._hosts.discard(host)
-        self.lacking -= 1
-        return self.lacking <= 0 or not self._hosts
+        self.answers_missing -= 1
+        return self.answers_missing <= 0 or not self._hosts
 
     def overdue(self, now: float) -> bool:
         """Tell whether the flow has waited long enough."""
-        return now - self._began >= PATIENCE_S
+        return now - self._began >= ANSWER_WAIT_S
 
 
 class Inquiries:
@@ -108,7 +110,7 @@
     @property
     def full(self) -> bool:
         """Tell whether no more flows should wait."""
-        return len(self._waiting) >= WAITING_KEPT
+        return len(self._waiting) >= MAX_WAITING
 
     def add(self, inquiry: Inquiry) -> None:
         """Let a flow wait; a copy of its opening takes the place of it."""
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -56,7 +56,7 @@
         self, item: packet.Packet, hint: hints.Hint, now: float
     ) -> None:
         """Keep a packet, and ask who holds its flow."""
-        hint.place = hints.Place.SEARCHED
+        hint.state = hints.HintState.SEARCHED
         hint.host = None
         if hint.search is None or hint.search.stale(now):
             self._meters.counters['searches'] += 1
@@ -111,9 +111,9 @@
         raw = search.probe.raw
         for start in range(0, len(hosts), searching.HOSTS_PER_RELAY):
             part = hosts[start : start + searching.HOSTS_PER_RELAY]
-            errand = control.Errand(part, raw)
+            errand = control.RelayRequest(part, raw)
             relay = relays[turn % len(relays)]
-            self._send(relay, control.pack_errand(errand))
+            self._send(relay, control.pack_relay_request(errand))
             turn += 1
 
     def _send(self, host: str, datagram: bytes) -> None:
@@ -141,7 +141,7 @@
     def on_relayed(
         self,
         answer: control.Envelope,
-        outcome: control.Outcome,
+        outcome: control.RelayResult,
         hint: hints.Hint,
         now: float,
     ) -> None:
@@ -171,7 +171,7 @@
             return
         hint.host = host
         hint.tag = tag
-        self._end(flow, hint, hints.Place.HINTED)
+        self._end(flow, hint, hints.HintState.HINTED)
         took_ms = (now - search.began) * 1000
         self._meters.time('search_found', took_ms)
         self._reporter.note(
@@ -198,7 +198,7 @@
         changes; without waiting for them the flow of a server that lives
         would be reset.
         """
-        if self._targets.lags(search.layout_revision, now):
+        if self._targets.is_behind(search.layout_revision, now):
             self._meters.counters['verdicts_delayed'] += 1
             self._catch_up(now)
             return
@@ -214,7 +214,7 @@
         now: float,
     ) -> None:
         """Reset a flow that nobody holds, so that its caller comes again."""
-        self._end(flow, hint, hints.Place.LOST)
+        self._end(flow, hint, hints.HintState.LOST)
         self._meters.counters['flows_lost'] += 1
         took_ms = (now - search.began) * 1000
         self._meters.time('search_lost', took_ms)
@@ -229,8 +229,10 @@
         for item in search.take_packets()[-1:]:
             self.reset(item)
 
-    def _end(self, flow: bytes, hint: hints.Hint, place: hints.Place) -> None:
-        hint.place = place
+    def _end(
+        self, flow: bytes, hint: hints.Hint, place: hints.HintState
+    ) -> None:
+        hint.state = place
         hint.search = None
         self._searched.pop(flow, None)
 
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -509,13 +509,13 @@
                 )
             elif envelope.kind == control.KIND_CHANGES:
                 self._exchange.on_changes(envelope.body, host, now)
-            elif envelope.kind == control.KIND_WANT:
+            elif envelope.kind == control.KIND_GET_CHANGES:
                 self._exchange.on_want(envelope.body, host, now)
-            elif envelope.kind == control.KIND_WANT_ALERTS:
+            elif envelope.kind == control.KIND_GET_ALERTS:
                 self._exchange.on_want_alerts(envelope.body, host, now)
             elif envelope.kind == control.KIND_ALERTS:
                 self._exchange.on_alerts(envelope.body, host, now)
-            elif envelope.kind == control.KIND_REFER:
+            elif envelope.kind == control.KIND_REFERRAL:
                 self._exchange.on_referral(envelope.body, host, now)
             else:
                 self._on_envelope(envelope, host, now)
--- a/packages/teaseldock/teaseldock/packets/placing.py
+++ b/packages/teaseldock/teaseldock/packets/placing.py
@@ -143,7 +143,7 @@
     return waiting / _slots(candidate)
 
 
-def pressure(candidate: Candidate, *, data_centre: str) -> float:
+def placement_cost(candidate: Candidate, *, data_centre: str) -> float:
     """Return requests per slot that a new flow would meet.
 
     :param data_centre: of the balancer that places it.
@@ -197,7 +197,7 @@
     """
 
     def cost(item: Candidate) -> float:
-        return pressure(item, data_centre=data_centre)
+        return placement_cost(item, data_centre=data_centre)
 
     for start in range(0, len(ordered), CANDIDATES):
         best = min(ordered[start : start + CANDIDATES], key=cost)
--- a/packages/teaseldock/teaseldock/packets/ranking.py
+++ b/packages/teaseldock/teaseldock/packets/ranking.py
@@ -17,10 +17,10 @@
 
 #: Targets kept of each order: enough to find placing.CANDIDATES among them
 #: while three quarters are draining, silent or tried.
-KEPT = 16
+CACHED_TARGETS = 16
 
 
-class Orders:
+class RankingCache:
     """The first targets of each service, by bucket of flows."""
 
     def __init__(self) -> None:
@@ -49,6 +49,8 @@
         key = (service, near, placing.bucket(flow))
         order = self._orders.get(key)
         if order is None:
-            order = placing.ranked(flow, targets, near=near, count=KEPT)
+            order = placing.ranked(
+                flow, targets, near=near, count=CACHED_TARGETS
+            )
             self._orders[key] = order
         return order
--- a/packages/teaseldock/teaseldock/packets/relaying.py
+++ b/packages/teaseldock/teaseldock/packets/relaying.py
@@ -34,7 +34,9 @@
 class _Errand:
     """One flow that a balancer searches for."""
 
-    def __init__(self, errand: control.Errand, asker: str, now: float) -> None:
+    def __init__(
+        self, errand: control.RelayRequest, asker: str, now: float
+    ) -> None:
         self.asker = asker
         self.raw = errand.raw
         self.hosts = errand.hosts
@@ -70,7 +72,7 @@
         )
 
     def begin(
-        self, errand: control.Errand, flow: bytes, asker: str, now: float
+        self, errand: control.RelayRequest, flow: bytes, asker: str, now: float
     ) -> None:
         """Ask the hosts of an errand; its answer goes to the asker."""
         self._meters.counters['errands'] += 1
@@ -127,8 +129,10 @@
         *,
         tag: int = 0,
     ) -> None:
-        outcome = control.Outcome(flow, errand.layout_revision, hosts)
-        self._send(errand.asker, control.pack_outcome(holding, tag, outcome))
+        outcome = control.RelayResult(flow, errand.layout_revision, hosts)
+        self._send(
+            errand.asker, control.pack_relay_result(holding, tag, outcome)
+        )
 
     def tick(self, now: float) -> None:
         """Ask those again that are silent, and drop old errands."""
--- a/packages/teaseldock/teaseldock/packets/warming.py
+++ b/packages/teaseldock/teaseldock/packets/warming.py
@@ -21,7 +21,7 @@
 #: Part of the limit that an agent allows in the first WINDOW_S of its life: it
 #: doesn't know what passed before it was restarted, and half again as much in
 #: one window is what operators tolerate.
-YOUNG_SHARE = 0.5
+RESTART_SHARE = 0.5
 
 
 class Window:
@@ -46,7 +46,7 @@
         return len(self._moments)
 
 
-class Warming:
+class ColdLimiter:
     """Whether one server is cold, and what it may still take."""
 
     def __init__(self, now: float) -> None:
@@ -62,14 +62,14 @@
         """Take over the operator's limit for the service, None for none."""
         self._limit = limit
 
-    def take_entry(self, target: records.Target, now: float) -> None:
+    def update_entry(self, target: records.Target, now: float) -> None:
         """Take over how long the server's entry says that it stays cold."""
         if target.revision == self._revision:
             return
         self._revision = target.revision
         self._cold_until = now + target.warmup_ms / 1000
 
-    def suppose_cold(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Take the server for cold until its entry tells.
 
         Servers of a data centre that is taken back may be cold, and their
@@ -89,7 +89,7 @@
             return None
         allowed = self._limit.requests_per_s
         if now - self._began < WINDOW_S:
-            allowed *= YOUNG_SHARE
+            allowed *= RESTART_SHARE
         # A limit below one a second still lets the server take one.
         return max(0, max(1, math.floor(allowed)) - window.count(now))
 
--- a/tests/packets/test_candidates.py
+++ b/tests/packets/test_candidates.py
@@ -118,7 +118,9 @@
     count = 0
     for process in world.balancers():
         usable = process.node._targets.for_new_flow(
-            bytes(12), hints.Hint('dispatch', hints.Place.OPENING), world.now
+            bytes(12),
+            hints.Hint('dispatch', hints.HintState.OPENING),
+            world.now,
         )
         count += host not in {item.target.host for item in usable}
     return count
--- a/tests/packets/test_inquiry.py
+++ b/tests/packets/test_inquiry.py
@@ -35,11 +35,18 @@
     )
 
 
-def waiting(number: int, hosts: list[str], lacking: int) -> inquiry.Inquiry:
+def waiting(
+    number: int, hosts: list[str], answers_missing: int
+) -> inquiry.Inquiry:
     """Return a flow that waits since 100.0."""
-    hint = hints.Hint('d', hints.Place.OPENING)
+    hint = hints.Hint('d', hints.HintState.OPENING)
     return inquiry.Inquiry(
-        opening(number), hint, hosts=hosts, group=1, lacking=lacking, now=100.0
+        opening(number),
+        hint,
+        hosts=hosts,
+        group=1,
+        answers_missing=answers_missing,
+        now=100.0,
     )
 
 
@@ -47,10 +54,10 @@
     """Two fresh reports are enough; with one, the others are asked."""
     fresh, old = inquiry.FRESH_S / 2, 10 * inquiry.FRESH_S
     group = [candidate(1, fresh), candidate(2, fresh), candidate(3, None)]
-    assert not inquiry.whom_to_ask(group)
+    assert not inquiry.candidates_to_query(group)
     group = [candidate(1, fresh), candidate(2, old), candidate(3, None)]
-    assert inquiry.whom_to_ask(group) == group[1:]
-    assert not inquiry.whom_to_ask([candidate(1, fresh)])
+    assert inquiry.candidates_to_query(group) == group[1:]
+    assert not inquiry.candidates_to_query([candidate(1, fresh)])
 
 
 def test_two_answers_are_enough() -> None:
@@ -69,8 +76,8 @@
     """Silence of all candidates delays a flow by 15 ms and a tick."""
     flows = inquiry.Inquiries()
     flows.add(waiting(1, ['10.0.1.1'], 1))
-    assert not flows.overdue(100.0 + inquiry.PATIENCE_S / 2)
-    assert len(flows.overdue(100.0 + inquiry.PATIENCE_S)) == 1
+    assert not flows.overdue(100.0 + inquiry.ANSWER_WAIT_S / 2)
+    assert len(flows.overdue(100.0 + inquiry.ANSWER_WAIT_S)) == 1
     assert not flows.overdue(101.0)
 
 
--- a/tests/packets/test_pulling.py
+++ b/tests/packets/test_pulling.py
@@ -67,7 +67,7 @@
     for number in range(194 * 5 * 4):
         now += 1 / (194 * 5)
         process.node.on_datagram(
-            control.pack_want(1), f'10.1.0.{number % 194}', now
+            control.pack_get_changes(1), f'10.1.0.{number % 194}', now
         )
     assert process.node.meters.counters['changes_sent'] > sent + 10
 
--- a/tests/packets/test_ranking.py
+++ b/tests/packets/test_ranking.py
@@ -38,12 +38,12 @@
 def test_the_first_are_those_of_the_whole_order() -> None:
     """A kept order is the beginning of the order that searches follow."""
     targets = [target(number) for number in range(TARGETS)]
-    orders = ranking.Orders()
+    orders = ranking.RankingCache()
     for number in range(50):
         for near in (None, 'dc-2'):
             first = orders.first(flow(number), 'd', targets, near=near)
             whole = placing.ranked(flow(number), targets, near=near)
-            assert first == whole[: ranking.KEPT]
+            assert first == whole[: ranking.CACHED_TARGETS]
 
 
 def test_a_flow_ranks_no_targets(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -62,7 +62,7 @@
     )
     for count in (10, 1000):
         targets = [target(number) for number in range(count)]
-        orders = ranking.Orders()
+        orders = ranking.RankingCache()
         for number in range(FLOWS):
             orders.first(flow(number), 'd', targets, near=None)
         assert len(ranked) <= 256 * count
@@ -72,7 +72,7 @@
 def test_first_places_are_spread() -> None:
     """No target is among the first candidates of many more flows."""
     targets = [target(number) for number in range(TARGETS)]
-    orders = ranking.Orders()
+    orders = ranking.RankingCache()
     shares: collections.Counter[str] = collections.Counter()
     for number in range(FLOWS):
         first = orders.first(flow(number), 'd', targets, near=None)
@@ -86,8 +86,8 @@
 def test_a_new_target_moves_few_flows() -> None:
     """Searches by balancers that have not heard of it begin alike."""
     targets = [target(number) for number in range(TARGETS)]
-    before = ranking.Orders()
-    after = ranking.Orders()
+    before = ranking.RankingCache()
+    after = ranking.RankingCache()
     more = [*targets, target(TARGETS)]
     moved = sum(
         before.first(flow(n), 'd', targets, near=None)[0]
--- a/tests/packets/test_relaying.py
+++ b/tests/packets/test_relaying.py
@@ -43,8 +43,10 @@
     outlet = Outlet()
     relay = relaying.Relay(outlet.send, reporting.Meters())
     raw = packet_codec.made(FLOW, length=1).raw
-    sent = control.unpack(control.pack_errand(control.Errand(HOSTS, raw)))
-    relay.begin(control.read_errand(sent), FLOW, ASKER, 0.0)
+    sent = control.unpack(
+        control.pack_relay_request(control.RelayRequest(HOSTS, raw))
+    )
+    relay.begin(control.read_relay_request(sent), FLOW, ASKER, 0.0)
     return relay, outlet
 
 
@@ -57,7 +59,7 @@
 def outcomes(outlet: Outlet) -> list[tuple[int, list[str]]]:
     """Return what the asker was told, and forget all that was sent."""
     return [
-        (item.detail, control.read_outcome(item.body).hosts)
+        (item.detail, control.read_relay_result(item.body).hosts)
         for host, item in outlet.take(control.KIND_RELAYED)
         if host == ASKER
     ]
@@ -68,11 +70,11 @@
     """Errands and outcomes that no process of ours sent raise one error."""
     envelope = control.Envelope(control.KIND_RELAY, 0, TAG, body)
     try:
-        assert control.read_errand(envelope).raw
+        assert control.read_relay_request(envelope).raw
     except exceptions.MessageError as error:
         assert error.code
     try:
-        assert control.read_outcome(body).hosts
+        assert control.read_relay_result(body).hosts
     except exceptions.MessageError as error:
         assert error.code
 
@@ -133,7 +135,7 @@
     outlet = Outlet()
     relay = relaying.Relay(outlet.send, reporting.Meters())
     for number in range(relaying.ERRANDS_KEPT + 1):
-        errand = control.Errand(HOSTS[:1], b'raw')
+        errand = control.RelayRequest(HOSTS[:1], b'raw')
         relay.begin(errand, number.to_bytes(12), ASKER, 0.0)
     outlet.sent.clear()
     located = control.Located(bytes(12), LAYOUT)
--- a/tests/packets/test_warming.py
+++ b/tests/packets/test_warming.py
@@ -208,9 +208,9 @@
     pauses: list[float], allowed: float
 ) -> None:
     """Whatever the moments, no span of a second holds more than allowed."""
-    state = warming.Warming(0.0)
+    state = warming.ColdLimiter(0.0)
     state.set_limit(records.ColdLimit('dispatch', 60_000, allowed))
-    state.suppose_cold(0.0)
+    state.assume_cold(0.0)
     now, taken = 5.0, []
     for pause in pauses:
         now += pause
