--- a/bench/packet_world.py
+++ b/bench/packet_world.py
@@ -22,8 +22,8 @@
 from teaseldock.packets import agent
 from teaseldock.packets import balancer
 from teaseldock.packets import control
+from teaseldock.packets import io_interface
 from teaseldock.packets import node
-from teaseldock.packets import outlet
 from teaseldock.packets import packet
 from teaseldock.packets import records
 from teaseldock.packets import reporting
@@ -57,7 +57,7 @@
         self._world.lines.append((self._world.now, self._name, event, fields))
 
 
-class Process(outlet.Outlet):
+class Process(io_interface.IOInterface):
     """One balancer or agent in the world."""
 
     def __init__(
@@ -74,7 +74,7 @@
             'host': host,
             'data_centre': server.data_centre if server else 'dc',
             'seeds': world.seeds,
-            'outlet': self,
+            'io': self,
             'reporter': Lines(world, host),
             'randomness': random.Random(zlib.crc32(host.encode())),
             'now': world.now,
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -274,7 +274,7 @@
             self._relay.on_located(envelope, host)
         elif envelope.kind == control.KIND_RELAY:
             errand = control.read_relay_request(envelope)
-            flow = self._outlet.read_packet(errand.raw).flow
+            flow = self._io.read_packet(errand.raw).flow
             self._relay.begin(errand, flow, host, now)
         else:
             self._meters.counters['dropped_not_for_agent'] += 1
@@ -300,7 +300,7 @@
                 envelope.body, envelope.tag, host, Reason.OTHER_SERVICE
             )
             return
-        item = self._outlet.read_packet(envelope.body)
+        item = self._io.read_packet(envelope.body)
         refusal = self._why_no_openings(now) if item.opening else None
         if refusal is not None and not self._tracker.half_open(item.flow):
             # A copy of an opening that the server has accepted goes on to it.
@@ -322,7 +322,7 @@
         self._to_server(item, host)
 
     def _to_server(self, item: packet.Packet, host: str) -> None:
-        self._outlet.to_server(item, bytes(map(int, host.split('.'))))
+        self._io.to_server(item, bytes(map(int, host.split('.'))))
 
     def _on_probe(
         self, envelope: control.Envelope, host: str, now: float
@@ -331,7 +331,7 @@
 
         The packet doesn't wait for a slot.
         """
-        item = self._outlet.read_packet(envelope.body)
+        item = self._io.read_packet(envelope.body)
         if not self._answers.on_probe(item, host):
             return
         self._admission.note_given(item, now)
@@ -365,7 +365,7 @@
     def _give_back(
         self, raw: bytes, tag: int, host: str, reason: Reason
     ) -> None:
-        self._outlet.to_process(
+        self._io.to_process(
             host, control.pack(control.KIND_RETURNED, reason, tag, raw)
         )
 
@@ -378,7 +378,7 @@
             self._on_unseen_reset(item, now)
             return
         self._meters.counters['packets_out'] += 1
-        self._outlet.to_caller(item)
+        self._io.to_caller(item)
         self._answers.shown(item.flow, searching.Holding.HELD)
         address = flows.service_of(item.flow)
         known = address in self._tracker.addresses
@@ -410,5 +410,5 @@
             return
         self._note_given_back(item, host, Reason.NOT_HELD)
         self._give_back(
-            self._outlet.original(item), self._tag, host, Reason.NOT_HELD
+            self._io.original(item), self._tag, host, Reason.NOT_HELD
         )
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -10,7 +10,7 @@
 from teaseldock.packets import control
 from teaseldock.packets import control_budget
 from teaseldock.packets import hints
-from teaseldock.packets import inquiry
+from teaseldock.packets import load_query
 from teaseldock.packets import locating
 from teaseldock.packets import mesh
 from teaseldock.packets import node
@@ -58,11 +58,11 @@
             inputs=lambda: self._flow_inputs,
             control_bytes=self._budget,
             catch_up=self._exchange.pull,
-            outlet=self._outlet,
+            io=self._io,
             reporter=self._reporter,
             meters=self._meters,
         )
-        self._inquiries = inquiry.Inquiries()
+        self._load_queries = load_query.LoadQueries()
         self._vanished: set[tuple[str, int]] = set()
         self._agent_heard_at = 0.0
         self._asked_quiet_at = 0.0
@@ -92,7 +92,7 @@
         if peer.is_balancer:
             return
         self._agent_heard_at = now
-        for waiting in self._inquiries.answered(peer.host):
+        for waiting in self._load_queries.answered(peer.host):
             self._place_asked(waiting, now)
 
     def _on_store_change(self, now: float) -> None:
@@ -130,7 +130,7 @@
         """Do what is due."""
         super().tick(now)
         self._serve_early(now)
-        for waiting in self._inquiries.overdue(now):
+        for waiting in self._load_queries.overdue(now):
             self._meters.counters['placed_without_answers'] += 1
             self._place_asked(waiting, now)
         self._locator.tick(now)
@@ -183,7 +183,7 @@
             )
         if hint.state is hints.HintState.OPENING:
             # It has opened; a copy that still waits must not move it.
-            self._inquiries.drop(item.flow)
+            self._load_queries.drop(item.flow)
         if hint.state is hints.HintState.SEARCHED:
             self._locator.search(item, hint, now)
         elif hint.state is hints.HintState.LOST:
@@ -253,7 +253,7 @@
             return
         end = group * placing.CANDIDATES
         members = usable[end - placing.CANDIDATES : end]
-        asked = inquiry.candidates_to_query(members)
+        asked = load_query.candidates_to_query(members)
         if asked and self._may_ask(now):
             self._inquire(item, hint, members, asked, group, now)
             return
@@ -261,7 +261,9 @@
 
     def _may_ask(self, now: float) -> bool:
         question = control_budget.Purpose.QUESTION
-        return not self._inquiries.full and self._budget.allows(question, now)
+        return not self._load_queries.full and self._budget.allows(
+            question, now
+        )
 
     def _inquire(
         self,
@@ -272,10 +274,10 @@
         group: int,
         now: float,
     ) -> None:
-        enough = min(inquiry.ENOUGH_ANSWERS, len(members))
+        enough = min(load_query.ENOUGH_ANSWERS, len(members))
         hosts = [member.target.host for member in asked]
-        self._inquiries.add(
-            inquiry.Inquiry(
+        self._load_queries.add(
+            load_query.LoadQuery(
                 item,
                 hint,
                 hosts=hosts,
@@ -287,7 +289,7 @@
         for host in hosts:
             self._ask(host, now)
 
-    def _place_asked(self, waiting: inquiry.Inquiry, now: float) -> None:
+    def _place_asked(self, waiting: load_query.LoadQuery, now: float) -> None:
         """Place a flow by the answers of its candidates."""
         hint = waiting.hint
         if self._hints.get(waiting.item.flow) is not hint:
@@ -311,11 +313,11 @@
         Those that have just answered come first: who did not may be gone.
         """
         looked = usable[: group * placing.CANDIDATES]
-        answered = [one for one in looked if inquiry.is_fresh(one)]
+        answered = [one for one in looked if load_query.is_fresh(one)]
         chosen = placing.pick(
             answered or looked, data_centre=self._data_centre
         )
-        more = len(usable) > len(looked) and group < inquiry.MAX_GROUPS
+        more = len(usable) > len(looked) and group < load_query.MAX_GROUPS
         if answered and more and placing.is_loaded(chosen):
             self._place(item, hint, now, group=group + 1)
             return
@@ -342,7 +344,7 @@
         hint = self._hints.get(item.flow)
         denied = len(hint.denied) if hint else 0
         self._hints.drop(item.flow)
-        self._inquiries.drop(item.flow)
+        self._load_queries.drop(item.flow)
         self._reporter.note(
             'refused',
             flow=reporting.flow_text(item.flow),
@@ -350,13 +352,13 @@
             denied=denied,
             **self._flow_inputs,
         )
-        self._outlet.reset_caller(item)
+        self._io.reset_caller(item)
 
     def _forward(self, item: packet.Packet, hint: hints.Hint) -> None:
         if hint.host is None:
             self._meters.counters['dropped_no_target'] += 1
             return
-        self._outlet.to_process(
+        self._io.to_process(
             hint.host,
             control.pack(control.KIND_PACKET, 0, hint.tag, item.raw),
         )
@@ -379,7 +381,7 @@
         if envelope.kind != control.KIND_RETURNED:
             self._meters.counters['dropped_not_for_balancer'] += 1
             return
-        item = self._outlet.read_packet(envelope.body)
+        item = self._io.read_packet(envelope.body)
         hint = self._hints.get(item.flow)
         if hint is None:
             self._meters.counters['dropped_returned'] += 1
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -8,7 +8,7 @@
 from teaseldock import flow as flows
 from teaseldock.packets import control
 from teaseldock.packets import holdings
-from teaseldock.packets import inquiry
+from teaseldock.packets import load_query
 from teaseldock.packets import mesh
 from teaseldock.packets import peer as peers
 from teaseldock.packets import placing
@@ -23,7 +23,7 @@
 #: Placements remembered for each target; more than the reports of 0.4 s miss.
 PLACEMENTS_KEPT = 64
 #: Targets that a new flow may get to see, the first in its order.
-MAX_CANDIDATES = placing.CANDIDATES * inquiry.MAX_GROUPS
+MAX_CANDIDATES = placing.CANDIDATES * load_query.MAX_GROUPS
 #: Agents among which those are chosen that ask others about a flow: one for
 #: each 40 targets, and others in turn if they are silent.
 RELAYS = 16
@@ -203,7 +203,7 @@
         warmth = self._warm_at.get(target.run)
         age_s = now - reported_at
         unreported = sum(1 for at in placed if at > shown)
-        if age_s > inquiry.FRESH_S:
+        if age_s > load_query.FRESH_S:
             # All balancers see old reports alike and take the same target for
             # the least loaded. Had each counted its own placements only, a
             # target that has just started would get as many flows from each
--- a/packages/teaseldock/teaseldock/packets/outlet.py
+++ b/packages/teaseldock/teaseldock/packets/io_interface.py
@@ -9,7 +9,7 @@
     from teaseldock.packets import packet
 
 
-class Outlet(abc.ABC):
+class IOInterface(abc.ABC):
     """Carries out what the decisions want to be sent."""
 
     @abc.abstractmethod
--- a/packages/teaseldock/teaseldock/packets/inquiry.py
+++ b/packages/teaseldock/teaseldock/packets/load_query.py
@@ -56,7 +56,7 @@
     return stale
 
 
-class Inquiry:
+class LoadQuery:
     """One new flow whose candidates were asked.
 
     :ivar item: the opening packet.
@@ -96,12 +96,12 @@
         return now - self._began >= ANSWER_WAIT_S
 
 
-class Inquiries:
+class LoadQueries:
     """The new flows of one balancer that wait for answers."""
 
     def __init__(self) -> None:
         """Start without a flow."""
-        self._waiting: dict[bytes, Inquiry] = {}
+        self._waiting: dict[bytes, LoadQuery] = {}
 
     def __len__(self) -> int:
         """Return how many flows wait."""
@@ -112,34 +112,30 @@
         """Tell whether no more flows should wait."""
         return len(self._waiting) >= MAX_WAITING
 
-    def add(self, inquiry: Inquiry) -> None:
+    def add(self, query: LoadQuery) -> None:
         """Let a flow wait; a copy of its opening takes the place of it."""
-        self._waiting[inquiry.item.flow] = inquiry
+        self._waiting[query.item.flow] = query
 
     def drop(self, flow: bytes) -> None:
         """Let a flow wait no longer."""
         self._waiting.pop(flow, None)
 
-    def answered(self, host: str) -> list[Inquiry]:
+    def answered(self, host: str) -> list[LoadQuery]:
         """Take an answer; return the flows that can be placed by it."""
         ready = [
-            inquiry
-            for inquiry in self._waiting.values()
-            if inquiry.answer(host)
+            query for query in self._waiting.values() if query.answer(host)
         ]
         self._take(ready)
         return ready
 
-    def overdue(self, now: float) -> list[Inquiry]:
+    def overdue(self, now: float) -> list[LoadQuery]:
         """Return the flows that wait no longer, whoever is silent."""
         late = [
-            inquiry
-            for inquiry in self._waiting.values()
-            if inquiry.overdue(now)
+            query for query in self._waiting.values() if query.overdue(now)
         ]
         self._take(late)
         return late
 
-    def _take(self, inquiries: list[Inquiry]) -> None:
-        for inquiry in inquiries:
-            self._waiting.pop(inquiry.item.flow, None)
+    def _take(self, queries: list[LoadQuery]) -> None:
+        for query in queries:
+            self._waiting.pop(query.item.flow, None)
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -12,7 +12,7 @@
 
 if typing.TYPE_CHECKING:
     from teaseldock.packets import candidates
-    from teaseldock.packets import outlet as outlets
+    from teaseldock.packets import io_interface
     from teaseldock.packets import packet
 
 Forward = typing.Callable[['packet.Packet', hints.Hint], None]
@@ -31,7 +31,7 @@
         inputs: Inputs,
         control_bytes: control_budget.ControlBudget,
         catch_up: CatchUp,
-        outlet: outlets.Outlet,
+        io: io_interface.IOInterface,
         reporter: reporting.Reporter,
         meters: reporting.Meters,
     ) -> None:
@@ -45,7 +45,7 @@
         self._targets = targets
         self._forward = forward
         self._inputs = inputs
-        self._outlet = outlet
+        self._io = io
         self._reporter = reporter
         self._meters = meters
         self._searched: dict[bytes, hints.Hint] = {}
@@ -119,7 +119,7 @@
     def _send(self, host: str, datagram: bytes) -> None:
         self._meters.counters['asked'] += 1
         self._budget.spend(control_budget.Purpose.SEARCH, len(datagram))
-        self._outlet.to_process(host, datagram)
+        self._io.to_process(host, datagram)
 
     def on_located(
         self, answer: control.Envelope, hint: hints.Hint, host: str, now: float
@@ -239,4 +239,4 @@
     def reset(self, item: packet.Packet) -> None:
         """Reset a flow that is lost; a reset needs no answer."""
         if not item.resetting:
-            self._outlet.reset_caller(item)
+            self._io.reset_caller(item)
--- a/packages/teaseldock/teaseldock/packets/mesh.py
+++ b/packages/teaseldock/teaseldock/packets/mesh.py
@@ -6,7 +6,7 @@
 processor time. So what one process sends depends on fixed fan-outs and not on
 the size of the fleet: a balancer tells a dozen others at a time in turn, and
 the agents that report to it; an agent reports to four balancers. Who is not
-heard is asked when it matters (:mod:`teaseldock.packets.inquiry`).
+heard is asked when it matters (:mod:`teaseldock.packets.load_query`).
 
 Agents find balancers by the seeds, by what balancers tell of each other, and
 by balancers that call on registered instances.
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -21,7 +21,7 @@
 from teaseldock.packets import store_state
 
 if typing.TYPE_CHECKING:
-    from teaseldock.packets import outlet as outlets
+    from teaseldock.packets import io_interface
     from teaseldock.packets import peer as peers
     from teaseldock.packets import records
 
@@ -48,7 +48,7 @@
         data_centre: str,
         seeds: list[str],
         is_balancer: bool,
-        outlet: outlets.Outlet,
+        io: io_interface.IOInterface,
         reporter: reporting.Reporter,
         randomness: random.Random,
         now: float,
@@ -66,7 +66,7 @@
         self._host = host
         self._data_centre = data_centre
         self._is_balancer = is_balancer
-        self._outlet = outlet
+        self._io = io
         self._reporter = reporter
         self._random = randomness
         self._meters = reporting.Meters()
@@ -280,9 +280,9 @@
         self._called_at = now
         self._called_knowing = self._knowledge.revision
         if step is reading.Step.READ_ALL:
-            self._outlet.read_all()
+            self._io.read_all()
         else:
-            self._outlet.watch(self._knowledge.revision)
+            self._io.watch(self._knowledge.revision)
 
     def _note_reading(self, why: readers.Why | None, now: float) -> None:
         if why is self._reads_because:
@@ -452,7 +452,7 @@
         self, host: str, datagram: bytes, purpose: control_budget.Purpose
     ) -> None:
         self._budget.spend(purpose, len(datagram))
-        self._outlet.to_process(host, datagram)
+        self._io.to_process(host, datagram)
 
     def _heartbeat(self, now: float) -> control.Heartbeat:
         return control.Heartbeat(
--- a/tests/packets/test_inquiry.py
+++ b/tests/packets/test_inquiry.py
@@ -10,7 +10,7 @@
 from teaseldock import load
 from teaseldock.packets import control_budget
 from teaseldock.packets import hints
-from teaseldock.packets import inquiry
+from teaseldock.packets import load_query
 from teaseldock.packets import packet
 from teaseldock.packets import placing
 from teaseldock.packets import records
@@ -37,10 +37,10 @@
 
 def waiting(
     number: int, hosts: list[str], answers_missing: int
-) -> inquiry.Inquiry:
+) -> load_query.LoadQuery:
     """Return a flow that waits since 100.0."""
     hint = hints.Hint('d', hints.HintState.OPENING)
-    return inquiry.Inquiry(
+    return load_query.LoadQuery(
         opening(number),
         hint,
         hosts=hosts,
@@ -52,17 +52,17 @@
 
 def test_nobody_is_asked_who_told_a_moment_ago() -> None:
     """Two fresh reports are enough; with one, the others are asked."""
-    fresh, old = inquiry.FRESH_S / 2, 10 * inquiry.FRESH_S
+    fresh, old = load_query.FRESH_S / 2, 10 * load_query.FRESH_S
     group = [candidate(1, fresh), candidate(2, fresh), candidate(3, None)]
-    assert not inquiry.candidates_to_query(group)
+    assert not load_query.candidates_to_query(group)
     group = [candidate(1, fresh), candidate(2, old), candidate(3, None)]
-    assert inquiry.candidates_to_query(group) == group[1:]
-    assert not inquiry.candidates_to_query([candidate(1, fresh)])
+    assert load_query.candidates_to_query(group) == group[1:]
+    assert not load_query.candidates_to_query([candidate(1, fresh)])
 
 
 def test_two_answers_are_enough() -> None:
     """A flow goes on with the second answer, whoever else is silent."""
-    flows = inquiry.Inquiries()
+    flows = load_query.LoadQueries()
     flows.add(waiting(1, ['10.0.1.1', '10.0.1.2', '10.0.1.3'], 2))
     assert not flows.answered('10.0.1.3')
     assert not flows.answered('10.0.1.3')
@@ -74,10 +74,10 @@
 
 def test_a_flow_waits_no_longer_than_its_patience() -> None:
     """Silence of all candidates delays a flow by 15 ms and a tick."""
-    flows = inquiry.Inquiries()
+    flows = load_query.LoadQueries()
     flows.add(waiting(1, ['10.0.1.1'], 1))
-    assert not flows.overdue(100.0 + inquiry.ANSWER_WAIT_S / 2)
-    assert len(flows.overdue(100.0 + inquiry.ANSWER_WAIT_S)) == 1
+    assert not flows.overdue(100.0 + load_query.ANSWER_WAIT_S / 2)
+    assert len(flows.overdue(100.0 + load_query.ANSWER_WAIT_S)) == 1
     assert not flows.overdue(101.0)
 
 
