--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -41,7 +41,7 @@
         self,
         tracker: tracking.Tracker,
         known: knowledge.Knowledge,
-        warming_state: warming.Warming,
+        warming_state: warming.ColdLimiter,
         *,
         to_server: ToServer,
         inputs: Inputs,
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -63,7 +63,7 @@
         self._port = port
         self._tag = control.service_tag(service)
         self._tracker = tracking.Tracker(now)
-        self._warming = warming.Warming(now)
+        self._warming = warming.ColdLimiter(now)
         self._was_evacuated = False
         self._admission = admission.Admission(
             self._tracker,
@@ -120,7 +120,7 @@
     def _send_search(self, host: str, datagram: bytes) -> None:
         self._send(host, datagram, control_budget.Purpose.SEARCH)
 
-    def _concerns_everybody(self, now: float) -> bool:
+    def _reports_to_all(self, now: float) -> bool:
         """Tell whether all balancers must know of the flows held here.
 
         They ask the servers that have an entry, and those that a route names.
@@ -158,14 +158,14 @@
         """Return the requests at the backend server and those that wait."""
         return self._admission.queue
 
-    def _on_knowledge(self, now: float) -> None:
+    def _on_store_change(self, now: float) -> None:
         before = self._own_target
         target = self._own_target = self._find_own_target()
         self._update_warming(now)
         if target is None:
             # Its entry expired; the slots stay what they were.
             if before is not None:
-                self._tell(self._mesh.balancers(), now)
+                self._send_heartbeats(self._mesh.balancers(), now)
             return
         self._admission.set_slots(target.slots)
         if target.run == self._served_run:
@@ -180,10 +180,10 @@
             limit = configuration.cold_limit(self._service)
             self._warming.set_limit(limit)
         if self._own_target is not None:
-            self._warming.take_entry(self._own_target, now)
+            self._warming.update_entry(self._own_target, now)
         evacuated = self._is_evacuated()
         if self._was_evacuated and not evacuated:
-            self._warming.suppose_cold(now)
+            self._warming.assume_cold(now)
         self._was_evacuated = evacuated
 
     def _is_evacuated(self) -> bool:
@@ -268,23 +268,23 @@
             )
         elif envelope.kind == control.KIND_PROBE:
             self._on_probe(envelope, host, now)
-        elif envelope.kind == control.KIND_ASK:
+        elif envelope.kind == control.KIND_GET_LOAD:
             self._on_ask(host, now)
         elif envelope.kind == control.KIND_LOCATED:
             self._relay.on_located(envelope, host)
         elif envelope.kind == control.KIND_RELAY:
-            errand = control.read_errand(envelope)
-            flow = self._outlet.read_packet(errand.raw).flow
+            errand = control.read_relay_request(envelope)
+            flow = self._io.read_packet(errand.raw).flow
             self._relay.begin(errand, flow, host, now)
         else:
             self._meters.counters['dropped_not_for_agent'] += 1
 
     def _on_ask(self, host: str, now: float) -> None:
         """Tell a balancer that is about to place a flow how busy it is."""
-        self._mesh.learn_balancer(host, now)
+        self._mesh.add_balancer(host, now)
         self._send(
             host,
-            control.pack_heartbeat(self._heartbeat(now), asked=True),
+            control.pack_heartbeat(self._heartbeat(now), solicited=True),
             control_budget.Purpose.QUESTION,
         )
 
@@ -300,7 +300,7 @@
                 envelope.body, envelope.tag, host, Reason.OTHER_SERVICE
             )
             return
-        item = self._outlet.read_packet(envelope.body)
+        item = self._io.read_packet(envelope.body)
         refusal = self._refusal_reason(now) if item.opening else None
         if refusal is not None and not self._tracker.half_open(item.flow):
             # A copy of an opening that the server has accepted goes on to it.
@@ -322,7 +322,7 @@
         self._to_server(item, host)
 
     def _to_server(self, item: packet.Packet, host: str) -> None:
-        self._outlet.to_server(item, bytes(map(int, host.split('.'))))
+        self._io.to_server(item, bytes(map(int, host.split('.'))))
 
     def _on_probe(
         self, envelope: control.Envelope, host: str, now: float
@@ -331,7 +331,7 @@
 
         The packet doesn't wait for a slot.
         """
-        item = self._outlet.read_packet(envelope.body)
+        item = self._io.read_packet(envelope.body)
         if not self._responder.on_probe(item, host):
             return
         self._admission.note_unqueued(item, now)
@@ -365,7 +365,7 @@
     def _give_back(
         self, raw: bytes, tag: int, host: str, reason: Reason
     ) -> None:
-        self._outlet.to_process(
+        self._io.to_process(
             host, control.pack(control.KIND_RETURNED, reason, tag, raw)
         )
 
@@ -378,7 +378,7 @@
             self._on_stray_reset(item, now)
             return
         self._meters.counters['packets_out'] += 1
-        self._outlet.to_caller(item)
+        self._io.to_caller(item)
         self._responder.answer_probe(item.flow, searching.LocateResult.HELD)
         address = flows.packed_service_endpoint(item.flow)
         known = address in self._tracker.addresses
@@ -386,7 +386,7 @@
         if not known and self._is_routed_elsewhere(address):
             # Opened by a balancer that lags. Others ask here only if they
             # hear of it, which must not wait for the next heartbeat.
-            self._tell(self._mesh.balancers(), now)
+            self._send_heartbeats(self._mesh.balancers(), now)
 
     def _on_stray_reset(self, item: packet.Packet, now: float) -> None:
         self._meters.counters['resets_kept_back'] += 1
@@ -414,5 +414,5 @@
             return
         self._note_given_back(item, host, Reason.NOT_HELD)
         self._give_back(
-            self._outlet.original(item), self._tag, host, Reason.NOT_HELD
+            self._io.original(item), self._tag, host, Reason.NOT_HELD
         )
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -8,7 +8,7 @@
 from teaseldock import flow as flows
 from teaseldock.packets import control
 from teaseldock.packets import holdings
-from teaseldock.packets import inquiry
+from teaseldock.packets import load_query
 from teaseldock.packets import mesh
 from teaseldock.packets import peer as peers
 from teaseldock.packets import placing
@@ -23,7 +23,7 @@
 #: Placements remembered for each target; more than the reports of 0.4 s miss.
 PLACEMENTS_KEPT = 64
 #: Targets that a new flow may get to see, the first in its order.
-SAMPLE = placing.CANDIDATES * inquiry.GROUPS
+MAX_CANDIDATES = placing.CANDIDATES * load_query.MAX_GROUPS
 #: Agents among which those are chosen that ask others about a flow: one for
 #: each 40 targets, and others in turn if they are silent.
 RELAYS = 16
@@ -69,8 +69,8 @@
         self._warm_at: dict[Run, _Warmth] = {}
         self._suspected: dict[str, float] = {}
         # Of targets that may get new flows, and of all that may hold old ones.
-        self._placeable_orders = ranking.Orders()
-        self._holder_orders = ranking.Orders()
+        self._placeable_orders = ranking.RankingCache()
+        self._holder_orders = ranking.RankingCache()
 
     def refresh(self, now: float) -> None:
         """Take over changed entries."""
@@ -113,14 +113,17 @@
         peer = self._mesh.peers.get(target.host)
         if peer is None:
             return False
-        if peer.leaving(now) or peer.missing(now):
+        if peer.leaving(now) or peer.answer_overdue(now):
             return True
         suspected_at = self._suspected.get(target.host)
-        if suspected_at is None or now - suspected_at > peers.BELIEVED_S:
+        if (
+            suspected_at is None
+            or now - suspected_at > peers.NEGATIVE_STATE_TTL_S
+        ):
             return False
         return suspected_at > (peer.heard_at or 0.0)
 
-    def near(self, flow: bytes) -> str | None:
+    def preferred_data_centre(self, flow: bytes) -> str | None:
         """Return the data centre that a flow should stay in, if any."""
         route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None or route.kind != records.RequestKind.UPLOAD:
@@ -136,13 +139,15 @@
         )
         accepting = [item for item in first if _accepts(item)]
         if accepting:
-            return accepting[:SAMPLE]
+            return accepting[:MAX_CANDIDATES]
         # The first in the order are away, or take nothing.
         targets = self._placeable(hint.service, now)
-        order = placing.ranked(flow, targets, near=self.near(flow))
+        order = placing.ranked(
+            flow, targets, near=self.preferred_data_centre(flow)
+        )
         others = self._candidates(order, hint, now)
         accepting = [item for item in others if _accepts(item)]
-        return (accepting or others)[:SAMPLE]
+        return (accepting or others)[:MAX_CANDIDATES]
 
     def _candidates(
         self, targets: list[records.Target], hint: hints.Hint, now: float
@@ -156,13 +161,13 @@
     def _first(
         self, flow: bytes, service: str, now: float
     ) -> list[records.Target]:
-        near = self.near(flow)
+        near = self.preferred_data_centre(flow)
         targets = self._knowledge.placeable(service)
         first = self._placeable_orders.first(flow, service, targets, near=near)
         lapsed = self._lapsed(service, now)
         if lapsed:
             first = placing.ranked(
-                flow, first + lapsed, near=near, count=ranking.KEPT
+                flow, first + lapsed, near=near, count=ranking.CACHED_TARGETS
             )
         return [item for item in first if not self.is_silent(item, now)]
 
@@ -177,7 +182,7 @@
         alive = [item for item in targets if not self.is_silent(item, now)]
         return alive or targets
 
-    def why_none(self, service: str) -> str:
+    def refusal_reason(self, service: str) -> str:
         """Return why no target of a service may get a new flow."""
         evacuated = self._knowledge.evacuated
         for target in self._knowledge.of_service(service):
@@ -198,7 +203,7 @@
         warmth = self._warm_at.get(target.run)
         age_s = now - reported_at
         unreported = sum(1 for at in placed if at > shown)
-        if age_s > inquiry.FRESH_S:
+        if age_s > load_query.FRESH_S:
             # All balancers see old reports alike and take the same target for
             # the least loaded. Had each counted its own placements only, a
             # target that has just started would get as many flows from each
@@ -229,7 +234,10 @@
         for service in dict.fromkeys(services):
             of_service = self._knowledge.of_service(service)
             targets += self._holder_orders.first(
-                flow, service, of_service, near=self.near(flow)
+                flow,
+                service,
+                of_service,
+                near=self.preferred_data_centre(flow),
             )
             targets += of_service
         targets.sort(key=lambda target: target.host not in hint.tried)
@@ -248,7 +256,7 @@
         hosts = []
         for host in self._hosts_with_servers(now):
             peer = self._mesh.peers.get(host)
-            if peer is None or not peer.heard_within(mesh.TRUSTED_S, now):
+            if peer is None or not peer.heard_within(mesh.REPORT_VALID_S, now):
                 hosts.append(host)
             elif holdings.may_hold(
                 peer.heartbeat, address, tags, version=version
@@ -277,12 +285,12 @@
             peer.host
             for peer in self._mesh.agents()
             if not self._knowledge.has_target_on(peer.host)
-            and peer.heard_within(mesh.TRUSTED_S, now)
+            and peer.heard_within(mesh.REPORT_VALID_S, now)
             and not peer.leaving(now)
         ]
         return hosts
 
-    def lags(self, told: int, now: float) -> bool:
+    def is_behind(self, told: int, now: float) -> bool:
         """Tell whether others know of places that this balancer doesn't.
 
         So does a balancer that has just started while entries expire for want
@@ -290,7 +298,7 @@
 
         :param told: the newest layout revision of those who were asked.
         """
-        if self._mesh.young(now) and self._store.recent_outage(now):
+        if self._mesh.recently_started(now) and self._store.recent_outage(now):
             return True
         newest = max(told, self._mesh.newest_layout(now))
         return newest > self._knowledge.revision
@@ -311,11 +319,13 @@
 
     def _is_heard(self, host: str, now: float) -> bool:
         peer = self._mesh.peers.get(host)
-        return peer is not None and peer.heard_within(mesh.SILENT_S, now)
+        return peer is not None and peer.heard_within(
+            mesh.HEARTBEAT_TIMEOUT_S, now
+        )
 
 
 def _accepts(candidate: placing.Candidate) -> bool:
     """Tell whether a target may take new flows, as far as is known."""
     if candidate.reported is None or candidate.reported.accepting:
         return True
-    return candidate.age_s > peers.BELIEVED_S
+    return candidate.age_s > peers.NEGATIVE_STATE_TTL_S
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -12,7 +12,7 @@
 
 if typing.TYPE_CHECKING:
     from teaseldock.packets import candidates
-    from teaseldock.packets import outlet as outlets
+    from teaseldock.packets import io_interface
     from teaseldock.packets import packet
 
 Forward = typing.Callable[['packet.Packet', hints.Hint], None]
@@ -31,7 +31,7 @@
         inputs: Inputs,
         control_bytes: control_budget.ControlBudget,
         catch_up: CatchUp,
-        outlet: outlets.Outlet,
+        io: io_interface.IOInterface,
         reporter: reporting.Reporter,
         meters: reporting.Meters,
     ) -> None:
@@ -45,7 +45,7 @@
         self._targets = targets
         self._forward = forward
         self._inputs = inputs
-        self._outlet = outlet
+        self._io = io
         self._reporter = reporter
         self._meters = meters
         self._active_searches: dict[bytes, hints.Hint] = {}
@@ -56,7 +56,7 @@
         self, item: packet.Packet, hint: hints.Hint, now: float
     ) -> None:
         """Keep a packet, and ask who holds its flow."""
-        hint.place = hints.Place.SEARCHED
+        hint.state = hints.HintState.SEARCHED
         hint.host = None
         if hint.search is None or hint.search.stale(now):
             self._meters.counters['searches'] += 1
@@ -111,15 +111,15 @@
         raw = search.probe.raw
         for start in range(0, len(hosts), searching.HOSTS_PER_RELAY):
             part = hosts[start : start + searching.HOSTS_PER_RELAY]
-            errand = control.Errand(part, raw)
+            errand = control.RelayRequest(part, raw)
             relay = relays[turn % len(relays)]
-            self._send(relay, control.pack_errand(errand))
+            self._send(relay, control.pack_relay_request(errand))
             turn += 1
 
     def _send(self, host: str, datagram: bytes) -> None:
         self._meters.counters['asked'] += 1
         self._budget.spend(control_budget.Purpose.SEARCH, len(datagram))
-        self._outlet.to_process(host, datagram)
+        self._io.to_process(host, datagram)
 
     def on_located(
         self, answer: control.Envelope, hint: hints.Hint, host: str, now: float
@@ -141,7 +141,7 @@
     def on_relayed(
         self,
         answer: control.Envelope,
-        outcome: control.Outcome,
+        outcome: control.RelayResult,
         hint: hints.Hint,
         now: float,
     ) -> None:
@@ -173,7 +173,7 @@
             return
         hint.host = host
         hint.tag = tag
-        self._end(flow, hint, hints.Place.HINTED)
+        self._end(flow, hint, hints.HintState.HINTED)
         took_ms = (now - search.began) * 1000
         self._meters.time('search_found', took_ms)
         self._reporter.note(
@@ -200,7 +200,7 @@
         changes; without waiting for them the flow of a server that lives
         would be reset.
         """
-        if self._targets.lags(search.layout_revision, now):
+        if self._targets.is_behind(search.layout_revision, now):
             self._meters.counters['verdicts_delayed'] += 1
             self._catch_up(now)
             return
@@ -216,7 +216,7 @@
         now: float,
     ) -> None:
         """Reset a flow that nobody holds, so that its caller comes again."""
-        self._end(flow, hint, hints.Place.LOST)
+        self._end(flow, hint, hints.HintState.LOST)
         self._meters.counters['flows_lost'] += 1
         took_ms = (now - search.began) * 1000
         self._meters.time('search_lost', took_ms)
@@ -231,12 +231,14 @@
         for item in search.take_packets()[-1:]:
             self.reset(item)
 
-    def _end(self, flow: bytes, hint: hints.Hint, place: hints.Place) -> None:
-        hint.place = place
+    def _end(
+        self, flow: bytes, hint: hints.Hint, place: hints.HintState
+    ) -> None:
+        hint.state = place
         hint.search = None
         self._active_searches.pop(flow, None)
 
     def reset(self, item: packet.Packet) -> None:
         """Reset a flow that is lost; a reset needs no answer."""
         if not item.resetting:
-            self._outlet.reset_caller(item)
+            self._io.reset_caller(item)
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -21,19 +21,19 @@
 from teaseldock.packets import synchronization
 
 if typing.TYPE_CHECKING:
-    from teaseldock.packets import outlet as outlets
+    from teaseldock.packets import io_interface
     from teaseldock.packets import peer as peers
     from teaseldock.packets import records
 
 #: Balancers that are told at once of something new, and twice as many by who
 #: read it from the store. Each of them tells others: 4 reach 59 balancers in
 #: three generations of 3 ms.
-NOTIFIED = 4
+NOTIFY_FAN_OUT = 4
 #: A gap between two ticks beyond this is a pause of this process, seconds.
 PAUSE_S = 1.0
 #: Seconds after a pause before the process acts on what it knew: thirty round
 #: trips between data centres, in which peers send what changed meanwhile.
-DISTRUST_S = 0.1
+RESYNC_S = 0.1
 #: Where changes came from, if not from a process.
 SOURCE_STORE = 'store'
 
@@ -48,7 +48,7 @@
         data_centre: str,
         seeds: list[str],
         is_balancer: bool,
-        outlet: outlets.Outlet,
+        io: io_interface.IOInterface,
         reporter: reporting.Reporter,
         randomness: random.Random,
         now: float,
@@ -66,7 +66,7 @@
         self._host = host
         self._data_centre = data_centre
         self._is_balancer = is_balancer
-        self._outlet = outlet
+        self._io = io
         self._reporter = reporter
         self._random = randomness
         self._meters = reporting.Meters()
@@ -174,7 +174,7 @@
     ) -> None:
         """Handle a datagram with a caller's packet."""
 
-    def _on_knowledge(self, now: float) -> None:
+    def _on_store_change(self, now: float) -> None:
         """Take over changed knowledge."""
 
     def _on_heartbeat(self, peer: peers.Peer, now: float) -> None:
@@ -192,7 +192,7 @@
         """Return what is to be told of the flows held here."""
         return holdings.NOTHING_KNOWN
 
-    def _concerns_everybody(self, now: float) -> bool:
+    def _reports_to_all(self, now: float) -> bool:
         """Tell whether all balancers have to hear this process."""
         return False
 
@@ -202,10 +202,10 @@
             return
         self._leaving = True
         self._reporter.note('leaving', **self._flow_inputs)
-        self._tell(self._mesh.balancers(), now)
-        self._tell(self._mesh.to_notify(0, now), now)
+        self._send_heartbeats(self._mesh.balancers(), now)
+        self._send_heartbeats(self._mesh.to_notify(0, now), now)
 
-    def distrusts(self, now: float) -> bool:
+    def is_resyncing(self, now: float) -> bool:
         """Tell whether what is known may be older than it looks."""
         return now < self._distrust_until
 
@@ -218,10 +218,12 @@
         """Do what is due; to be called some 20 times a second."""
         self.check_pause(now)
         self._last_tick = now
-        everybody = self._concerns_everybody(now)
-        self._tell(self._mesh.due(now, everybody=everybody), now)
+        all_balancers = self._reports_to_all(now)
+        self._send_heartbeats(
+            self._mesh.heartbeats_due(now, all_balancers=all_balancers), now
+        )
         if self._knowledge.expire_evacuations(now):
-            self._on_knowledge(now)
+            self._on_store_change(now)
         self._exchange.pull_alerts(now)
         self._exchange.pull(now)
         self.read_if_due(now)
@@ -250,11 +252,13 @@
         self._reporter.note(
             'paused', seconds=round(pause_s, 3), **self._flow_inputs
         )
-        self._distrust_until = now + DISTRUST_S
-        self._mesh.woke(pause_s)
-        self._tell(self._mesh.due(now, everybody=False), now)
+        self._distrust_until = now + RESYNC_S
+        self._mesh.on_resume(pause_s)
+        self._send_heartbeats(
+            self._mesh.heartbeats_due(now, all_balancers=False), now
+        )
 
-    def reads(self, now: float) -> bool:
+    def reads_store(self, now: float) -> bool:
         """Tell whether this process should read the store."""
         return self._why_read(now) is not None
 
@@ -276,9 +280,9 @@
         self._called_at = now
         self._called_knowing = self._knowledge.revision
         if step is read_schedule.Step.READ_ALL:
-            self._outlet.read_all()
+            self._io.read_all()
         else:
-            self._outlet.watch(self._knowledge.revision)
+            self._io.watch(self._knowledge.revision)
 
     def _note_reading(
         self, why: readers.ReadReason | None, now: float
@@ -375,11 +379,13 @@
         self._note_unnamed()
         hosts = {item.host for item in self._knowledge.targets.values()}
         if self._is_balancer:
-            self._mesh.learn_agents(hosts, now)
-        self._on_knowledge(now)
+            self._mesh.update_agents(hosts, now)
+        self._on_store_change(now)
         from_store = source == SOURCE_STORE
         if self._is_balancer or from_store:
-            self._notify(2 * NOTIFIED if from_store else NOTIFIED, now)
+            self._notify(
+                2 * NOTIFY_FAN_OUT if from_store else NOTIFY_FAN_OUT, now
+            )
         return True
 
     def _note_era(self, before: int, source: str) -> None:
@@ -419,9 +425,9 @@
             evacuated=sorted(self._knowledge.evacuated),
             **self._flow_inputs,
         )
-        self._on_knowledge(now)
+        self._on_store_change(now)
         if self._is_balancer:
-            self._notify(NOTIFIED, now)
+            self._notify(NOTIFY_FAN_OUT, now)
 
     def _notify(self, balancers: int, now: float) -> None:
         """Tell some at once that there is something new for them to ask for.
@@ -436,7 +442,7 @@
             told = self._mesh.to_notify(balancers, now)
         else:
             told = self._mesh.reported_to(now)
-        self._tell(told, now, purpose=notice)
+        self._send_heartbeats(told, now, purpose=notice)
 
     def _note_unnamed(self) -> None:
         unnamed = self._knowledge.entries_of_unknown_services
@@ -448,7 +454,7 @@
         self, host: str, datagram: bytes, purpose: control_budget.Purpose
     ) -> None:
         self._budget.spend(purpose, len(datagram))
-        self._outlet.to_process(host, datagram)
+        self._io.to_process(host, datagram)
 
     def _heartbeat(self, now: float) -> control.Heartbeat:
         return control.Heartbeat(
@@ -471,7 +477,7 @@
             self._version_proof.age_ms(now),
         )
 
-    def _tell(
+    def _send_heartbeats(
         self,
         peers: list[peers.Peer],
         now: float,
@@ -483,7 +489,7 @@
         heartbeat = self._heartbeat(now)
         packed: dict[int, bytes] = {}
         for peer in peers:
-            peer.told(now)
+            peer.note_heartbeat_sent(now)
             count = self._mesh.names_due(peer, now)
             if count not in packed:
                 named = self._mesh.named_balancers(now, count) if count else []
@@ -497,21 +503,21 @@
         try:
             envelope = control.unpack(datagram)
             if envelope.kind == control.KIND_HEARTBEAT:
-                self._hear(
+                self._handle_heartbeat(
                     control.read_heartbeat(envelope.body),
                     host,
                     now,
-                    asked=bool(envelope.detail),
+                    solicited=bool(envelope.detail),
                 )
             elif envelope.kind == control.KIND_CHANGES:
                 self._exchange.on_changes(envelope.body, host, now)
-            elif envelope.kind == control.KIND_WANT:
+            elif envelope.kind == control.KIND_GET_CHANGES:
                 self._exchange.on_changes_request(envelope.body, host, now)
-            elif envelope.kind == control.KIND_WANT_ALERTS:
+            elif envelope.kind == control.KIND_GET_ALERTS:
                 self._exchange.on_alerts_request(envelope.body, host, now)
             elif envelope.kind == control.KIND_ALERTS:
                 self._exchange.on_alerts(envelope.body, host, now)
-            elif envelope.kind == control.KIND_REFER:
+            elif envelope.kind == control.KIND_REFERRAL:
                 self._exchange.on_referral(envelope.body, host, now)
             else:
                 self._on_envelope(envelope, host, now)
@@ -519,16 +525,18 @@
             self._meters.counters[f'dropped_{error.code}'] += 1
             self._reporter.note('datagram dropped', host=host, why=str(error))
 
-    def _hear(
+    def _handle_heartbeat(
         self,
         heartbeat: control.Heartbeat,
         host: str,
         now: float,
         *,
-        asked: bool,
+        solicited: bool,
     ) -> None:
         new = self._mesh.is_new(host, heartbeat, now)
-        peer = self._mesh.hear(host, heartbeat, now, asked=asked)
+        peer = self._mesh.record_heartbeat(
+            host, heartbeat, now, solicited=solicited
+        )
         self._store.merge_heartbeat(heartbeat, now)
         self._hear_proof(heartbeat, now)
         if new:
@@ -540,8 +548,8 @@
                 revision=positions.revision(heartbeat.revision),
                 era=positions.era(heartbeat.revision),
             )
-            if self._greets(peer, now) and not asked:
-                self._tell([peer], now)
+            if self._greets(peer, now) and not solicited:
+                self._send_heartbeats([peer], now)
         if heartbeat.alerted > self._knowledge.alerts_upto:
             self._exchange.pull_alerts(now, source=host)
         if (
@@ -557,7 +565,7 @@
         Not of what waited while this process stood still: its age counts from
         when it was sent, and would look younger than an alert that is missing.
         """
-        if self.distrusts(now):
+        if self.is_resyncing(now):
             return
         self._version_proof.merge_claim(
             heartbeat.version,
@@ -578,4 +586,4 @@
         """Tell whether a process that is new hears of this one at once."""
         if self._is_balancer:
             return True
-        return peer.is_balancer and self._mesh.wants(peer.host, now)
+        return peer.is_balancer and self._mesh.should_report_to(peer.host, now)
--- a/packages/teaseldock/teaseldock/packets/relaying.py
+++ b/packages/teaseldock/teaseldock/packets/relaying.py
@@ -35,7 +35,7 @@
     """One flow that a balancer searches for."""
 
     def __init__(
-        self, errand: control.Errand, requester: str, now: float
+        self, errand: control.RelayRequest, requester: str, now: float
     ) -> None:
         self.requester = requester
         self.raw = errand.raw
@@ -72,7 +72,11 @@
         )
 
     def begin(
-        self, errand: control.Errand, flow: bytes, requester: str, now: float
+        self,
+        errand: control.RelayRequest,
+        flow: bytes,
+        requester: str,
+        now: float,
     ) -> None:
         """Ask the hosts of an errand; its answer goes to the asker."""
         self._meters.counters['errands'] += 1
@@ -133,9 +137,9 @@
         *,
         tag: int = 0,
     ) -> None:
-        outcome = control.Outcome(flow, errand.layout_revision, hosts)
+        outcome = control.RelayResult(flow, errand.layout_revision, hosts)
         self._send(
-            errand.requester, control.pack_outcome(result, tag, outcome)
+            errand.requester, control.pack_relay_result(result, tag, outcome)
         )
 
     def tick(self, now: float) -> None:
--- a/packages/teaseldock/teaseldock/packets/synchronization.py
+++ b/packages/teaseldock/teaseldock/packets/synchronization.py
@@ -80,13 +80,15 @@
         if not self._pulling.due(now):
             return
         own = self._knowledge.content_revision
-        source = self._pulling.choose(self._mesh.ahead(own, now))
+        source = self._pulling.choose(self._mesh.peers_ahead(own, now))
         if source is not None:
             self._request_changes(
                 source.host, self._knowledge.wanted_since, now
             )
             return
-        later = self._mesh.versions_beyond(self._knowledge.version, now)
+        later = self._mesh.peers_with_newer_version(
+            self._knowledge.version, now
+        )
         source = self._pulling.choose(later)
         if source is not None:
             self._request_changes(source.host, 0, now)
@@ -101,7 +103,7 @@
             return
         own = self._knowledge.alerts_upto
         if source is None:
-            ahead = self._mesh.alerted_beyond(own, now)
+            ahead = self._mesh.peers_with_newer_alerts(own, now)
             if not ahead:
                 return
             source = self._random.choice(
@@ -112,7 +114,7 @@
         self._meters.counters['alerts_wanted'] += 1
         self._send(
             source,
-            control.pack_want_alerts(own),
+            control.pack_get_alerts(own),
             control_budget.Purpose.ALERT,
         )
 
@@ -155,7 +157,7 @@
         alerts = control.read_alerts(body)
         self._alerts_kept[host] = alerts.kept_since
         self._take_alerts(alerts, host, now)
-        ahead = self._mesh.alerted_beyond(before, now)
+        ahead = self._mesh.peers_with_newer_alerts(before, now)
         # Each that has begun later than this process is asked but once.
         another = not alerts.complete and self._with_all_missing_alerts(ahead)
         if another or self._knowledge.alerts_upto > before:
@@ -169,7 +171,7 @@
             self._meters.counters['changes_wanted_whole'] += 1
         self._send(
             host,
-            control.pack_want(since),
+            control.pack_get_changes(since),
             control_budget.Purpose.QUESTION,
         )
 
--- a/tests/packets/test_pulling.py
+++ b/tests/packets/test_pulling.py
@@ -17,10 +17,10 @@
 def peer(host: str, revision: int) -> peers.Peer:
     """Return a process that told its revision."""
     item = peers.Peer(host, is_balancer=True)
-    item.hear(
+    item.record_heartbeat(
         control.Heartbeat(True, 1, False, revision, 0, False, None, b''),
         100.0,
-        asked=False,
+        solicited=False,
     )
     return item
 
@@ -67,7 +67,7 @@
     for number in range(194 * 5 * 4):
         now += 1 / (194 * 5)
         process.node.on_datagram(
-            control.pack_want(1), f'10.1.0.{number % 194}', now
+            control.pack_get_changes(1), f'10.1.0.{number % 194}', now
         )
     assert process.node.meters.counters['changes_sent'] > sent + 10
 
