--- a/packages/teaseldock/teaseldock/coordinator.py
+++ b/packages/teaseldock/teaseldock/coordinator.py
@@ -79,7 +79,7 @@
         return self._guard
 
     @property
-    def open_count(self) -> int:
+    def open(self) -> int:
         """Return how many requests have no final answer yet."""
         return len(self._pending)
 
--- a/packages/teaseldock/teaseldock/holder.py
+++ b/packages/teaseldock/teaseldock/holder.py
@@ -96,8 +96,8 @@
         """Tell whether no request is anywhere between arrival and answer."""
         return (
             self._executor.idle
-            and not self._coordinator.open_count
-            and not self._remote.open_count
+            and not self._coordinator.open
+            and not self._remote.open
         )
 
     def configure(
--- a/packages/teaseldock/teaseldock/remote.py
+++ b/packages/teaseldock/teaseldock/remote.py
@@ -41,7 +41,7 @@
         self._guarded: set[RemoteCall] = set()
 
     @property
-    def open_count(self) -> int:
+    def open(self) -> int:
         """Return how many requests await their answer."""
         return self._open
 
