--- a/packages/teaseldock/teaseldock/agent.py
+++ b/packages/teaseldock/teaseldock/agent.py
@@ -1,4 +1,4 @@
-"""Decide for the process beside a backend server."""
+"""Decide for the agent process beside a backend server."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     from teaseldock.codecs import base
     from teaseldock import inventory
 
-#: Seconds between two reports of load to the peers of a service.
+#: Seconds between load reports to the peers of a service.
 LOADS_INTERVAL_S = 0.2
-#: Peers that one report goes to; bounds traffic in large services.
+#: Limit of peers that get one report; bounds traffic in large services.
 LOADS_FANOUT = 6
-#: Seconds between two ticks while anything runs, moves or is searched for.
+#: Seconds between ticks while requests run, or flows move or are searched for.
 BUSY_TICK_S = 0.1
-#: A report is repeated this often even if nothing changed, seconds: while
-#: anything runs at this agent's targets or at their peers', and otherwise.
+#: Seconds after which an unchanged report is repeated: while requests run at
+#: this agent's targets or their peers, and while none do.
 LOADS_REPEAT_S = 0.35
 IDLE_REPEAT_S = 1.0
-#: Seconds for which a leaving agent stays after its last packet of work, for
-#: callers that hold its challenges and for peers that hear of it late.
+#: Seconds for which a leaving agent stays after its last packet, for callers
+#: that hold its challenges and for peers that have not learnt of its leaving.
 LINGER_S = 3.0
 
 
@@ -42,10 +42,10 @@
         randomness: random.Random,
         now: float,
     ) -> None:
-        """Start with nothing in force.
+        """Create an agent without configuration.
 
-        :param own: this agent; its name is that of its instance.
-        :param codec: the callers' protocol.
+        :param own: member entry of this agent; named after its instance.
+        :param codec: codec of the callers' protocol.
         """
         super().__init__(own=own, randomness=randomness, now=now)
         self._random = randomness
@@ -65,7 +65,7 @@
 
     @property
     def counters(self) -> typing.Counter[str]:
-        """Return events since the start, by name."""
+        """Return the number of events since the start, by name."""
         return self._shared.counters
 
     @property
@@ -81,21 +81,21 @@
         return None
 
     def drained(self, now: float) -> bool:
-        """Tell whether a leaving agent may stop without cutting anything."""
+        """Return whether a leaving agent can stop without breaking a flow."""
         for item in self._targets.values():
             if not item.drained:
                 self._busy_until = now + LINGER_S
         return now >= self._busy_until
 
     def tick_interval(self, now: float) -> float:
-        """Return a short time while requests or flows are on the move."""
+        """Return the seconds until the next tick, fewer during work."""
         for item in self._targets.values():
             if item.leaving or item.is_active(now):
                 return BUSY_TICK_S
         return node.IDLE_TICK_S
 
     def on_view_changed(self, now: float) -> list[messages.Action]:
-        """Build, change and withdraw targets as the rules say."""
+        """Create, refresh and withdraw targets by the rules."""
         contents = self._view.inventory
         slots = self._slots(contents)
         for name in self._own_services(contents):
@@ -114,7 +114,7 @@
         return []
 
     def _own_services(self, contents: inventory.Inventory) -> list[str]:
-        """Return the services that this instance serves, or still leaves."""
+        """Return the services that this instance serves or is leaving."""
         if contents is self._scanned_inventory:
             return self._own_service_names
         own = self._shared.name
@@ -139,11 +139,10 @@
     ) -> list[messages.Action]:
         """Handle a caller's packet from a balancer or another agent.
 
-        Both the sender's and this agent's idea of the service at the address
-        must fit the target. An address that was given to another service
-        would otherwise bring callers to the wrong one through whichever
-        process still has the old table; it would show as requests in the
-        wrong server's log.
+        The service of the packet's header and the service that this agent's
+        table has for the address must match. If an address was reassigned to
+        another service, a process with the old table would otherwise route
+        callers to the wrong server.
         """
         item = self._targets.get(packet.service)
         if item is None:
@@ -184,8 +183,8 @@
     ) -> list[messages.Action]:
         """Answer a search for a service that this instance doesn't serve yet.
 
-        The asker may have the newer rules. Without an answer it would hold
-        the caller's first packet back until all its rounds of asking are up.
+        The sender may have newer rules. Without an answer it would hold the
+        caller's first packet until all rounds of its search have passed.
         """
         self._shared.counters['messages_no_such_target'] += 1
         if not isinstance(message, messages.Locate):
@@ -205,14 +204,14 @@
         return item.on_server_reply(reply, now)
 
     def needs_server(self, service: str) -> bool:
-        """Tell whether requests or feeds wait for the server of a service."""
+        """Return whether requests or feeds depend on a service's server."""
         item = self.find(service)
         if item is None:
             return False
         return not item.holder.idle or len(item.holder.feeds) > 0
 
     def server_lost(self, service: str, now: float) -> list[messages.Action]:
-        """Note that the server of a service is gone."""
+        """Mark the server of a service as down."""
         item = self.find(service)
         if item is None or not item.holder.server_up:
             return []
@@ -220,7 +219,7 @@
         return item.server_lost(now)
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Do what is due; to be called several times a second."""
+        """Run periodic work; to be called several times a second."""
         actions = super().tick(now)
         for item in self._targets.values():
             actions += item.tick(now)
@@ -233,7 +232,7 @@
                 item.on_load_report(message.sender, part.reports, now)
 
     def _report_loads(self, now: float) -> list[messages.Action]:
-        """Tell peers the load, if nothing else told them just now."""
+        """Send the load to peers that were sent no report recently."""
         if now < self._next_loads_at:
             return []
         self._next_loads_at = now + LOADS_INTERVAL_S
--- a/packages/teaseldock/teaseldock/challenge.py
+++ b/packages/teaseldock/teaseldock/challenge.py
@@ -1,4 +1,4 @@
-"""Issue and check the Echo values that bind a request to one holder."""
+"""Issue and check the Echo values that bind a request to one process."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from teaseldock import exceptions
 
-#: Seconds for which an Echo may be used; RFC 7252 EXCHANGE_LIFETIME.
+#: Seconds for which an Echo value is valid; RFC 7252 EXCHANGE_LIFETIME.
 CHALLENGE_LIFETIME_S = 247.0
 _LAYOUT = struct.Struct('!IQIQ')
 _TAG_BYTES = 8
-#: Bytes of a value; RFC 9175 allows 1 to 40.
+#: Bytes of an Echo value; RFC 9175 allows 1 to 40.
 CHALLENGE_BYTES = _LAYOUT.size + _TAG_BYTES
 
 
 class Challenge(typing.NamedTuple):
-    """What an Echo value says.
+    """Contents of an Echo value.
 
     :ivar holder: number of the instance that issued it, see
         :func:`teaseldock.load.instance_number`.
-    :ivar incarnation: of that instance's agent; one per start.
-    :ivar issued_s: seconds of the issuer's clock, rounded down.
-    :ivar nonce: never repeated within one incarnation.
+    :ivar incarnation: incarnation of that instance's agent; one per start.
+    :ivar issued_s: issue time by the issuer's clock, seconds, rounded down.
+    :ivar nonce: unique within one incarnation.
     """
 
     holder: int
@@ -48,10 +48,11 @@
 def read(
     value: bytes, flow_key: bytes, *, keys: typing.Sequence[bytes]
 ) -> Challenge:
-    """Return what an Echo value says, if this fleet issued it for the flow.
+    """Return the contents of an Echo value that was issued to a flow.
 
-    :param keys: the keys in use, the newest first.
-    :raises ChallengeError: if it was made up, cut, or issued to another flow.
+    :param keys: keys in use, the newest first.
+    :raises ChallengeError: if the value is forged, truncated, or issued to
+        another flow.
     """
     head = value[: _LAYOUT.size]
     given = value[_LAYOUT.size :]
--- a/packages/teaseldock/teaseldock/challenged.py
+++ b/packages/teaseldock/teaseldock/challenged.py
@@ -1,28 +1,28 @@
-"""Remember messages that were challenged, so that no copy of them runs."""
+"""Record challenged messages, so that no delayed copy of them runs."""
 
 from __future__ import annotations
 
 import collections
 
-#: Messages remembered, some 150 bytes each; the oldest go first. A copy may be
-#: late by seconds, and at 460,000 new flows a second over 54,000 targets each
-#: challenges nine a second.
+#: Limit of recorded messages of about 150 bytes each; the oldest are evicted
+#: first. Copies can be delayed by seconds, and at 460,000 new flows per second
+#: over 54,000 targets each target challenges nine messages per second.
 MESSAGES_KEPT = 4096
 
 
 class ChallengedMessages:
-    """Exchanges that a challenge has answered.
-
-    A challenged message is sent again by its caller under another exchange,
-    with the proof. A copy of the first that the network delays comes when the
-    flow has proved its address; run then, it would begin the transfer of an
-    earlier upload in the middle of a later one, which shows as an answer for
-    an earlier request. One in a hundred plays of kills under doubled and
-    delayed packets showed it.
+    """Exchanges that were answered with a challenge.
+
+    The caller resends a challenged message under another exchange, with the
+    Echo value. A copy of the first message that the network delays arrives
+    after the flow's address is verified. If it ran, it would restart an
+    earlier upload in the middle of a later one, and the caller would get an
+    answer for the earlier request. One in a hundred runs with killed processes
+    and with duplicated and delayed packets showed this.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty record."""
         self._exchanges: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
@@ -31,7 +31,7 @@
         return key in self._exchanges
 
     def add(self, key: bytes) -> None:
-        """Note that a message was challenged.
+        """Record that a message was challenged.
 
         :param key: flow key followed by the request's exchange.
         """
--- a/packages/teaseldock/teaseldock/claims.py
+++ b/packages/teaseldock/teaseldock/claims.py
@@ -1,12 +1,12 @@
-"""Ask before running a request that must not run twice and was handed on.
-
-A sender that has handed such a request on and hears nothing can't tell whether
-it ran: the receiver may have been dead before it arrived, for some seconds
-before anybody noticed. The caller then hears "outcome unknown" of an order
-that nobody ever started. So the receiver asks when a slot of its server is
-free, and starts only with the sender's consent; a sender that has not
-consented gives the request to another target, or says truly that it has not
-run.
+"""Claim forwarded guarded requests from their senders before running them.
+
+A sender that gets no answer to a forwarded request can't determine whether it
+ran: the receiver may have died before it arrived, some seconds before its
+death was detected. The caller would get "outcome unknown" for a request that
+never started. The receiver therefore sends a claim when a slot of its server
+is free, and starts the request only with the sender's consent. A sender that
+has not consented can forward the request to another target or answer "not
+run".
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 if typing.TYPE_CHECKING:
     from teaseldock import context
 
-#: Seconds until consent is asked for again: ten round trips between data
-#: centres; a lost datagram must not keep a slot idle for longer. Doubled each
-#: time, since the sender may be dead.
+#: Seconds until a claim is first repeated: ten round trips between data
+#: centres, so that a lost datagram keeps a slot idle no longer. The interval
+#: doubles with each repeat, since the sender may be dead.
 CLAIM_REPEAT_S = 0.03
-#: Seconds without an answer after which the slot is given to others: the
-#: sender has died or is cut off, and its caller asks somebody else.
+#: Seconds after which an unanswered claim releases the slot: the sender is
+#: dead or partitioned, and its caller resends the request to another target.
 CLAIM_TIMEOUT_S = 0.5
 
 
 class _HeldStart:
-    """A request that has a slot and waits for consent."""
+    """A request that occupies a slot and waits for consent."""
 
     __slots__ = ('start', 'began', 'repeat_at', 'interval_s')
 
@@ -45,12 +45,12 @@
 
 
 class Claims:
-    """The requests of one service that wait for consent."""
+    """Requests of one service that wait for consent."""
 
     def __init__(self, shared: context.Context, number: int) -> None:
-        """Start with none.
+        """Create an empty collection.
 
-        :param number: of the service.
+        :param number: number of the service.
         """
         self._shared = shared
         self._number = number
@@ -59,7 +59,7 @@
     def hold(
         self, call: remote.RemoteCall, start: messages.ToServer, now: float
     ) -> list[messages.Action]:
-        """Keep a request from the server, and ask its sender."""
+        """Hold a request back and send a claim to its sender."""
         self._held[call] = _HeldStart(start, now)
         return self._send_claim(call)
 
@@ -70,14 +70,17 @@
         return self._shared.view.to_peer(call.sender, claim)
 
     def pop_start(self, call: remote.RemoteCall) -> messages.ToServer | None:
-        """Return the start that was held back, and hold it no longer."""
+        """Remove and return a held start, or None."""
         held = self._held.pop(call, None)
         return held.start if held else None
 
     def due(
         self, now: float
     ) -> tuple[list[messages.Action], list[remote.RemoteCall]]:
-        """Ask again; return messages, and requests whose sender is silent."""
+        """Repeat due claims.
+
+        :returns: messages to send, and requests whose claim has timed out.
+        """
         actions: list[messages.Action] = []
         silent = []
         for call, held in self._held.items():
--- a/packages/teaseldock/teaseldock/context.py
+++ b/packages/teaseldock/teaseldock/context.py
@@ -1,4 +1,4 @@
-"""Carry what all parts of one agent's decisions share."""
+"""Hold the state that the components of one agent share."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Keys(typing.NamedTuple):
-    """Secrets of the fleet.
+    """Secret keys of the fleet.
 
     :ivar seal: keys for messages and challenges, the newest first.
-    :ivar flow_hash: key of the flow hash.
+    :ivar flow_hash: key of the hash that maps flows to buckets.
     """
 
     seal: tuple[bytes, ...]
@@ -26,12 +26,13 @@
 
 
 class Context(typing.NamedTuple):
-    """What the parts of an agent share.
+    """State that the components of an agent share.
 
-    :ivar name: instance beside whose server the agent runs.
-    :ivar counters: events since the start, by name.
-    :ivar calls: numbers for requests, unique within the incarnation.
-    :ivar budget: control traffic that announcements and transfers share.
+    :ivar name: name of the agent's instance.
+    :ivar counters: number of events since the start, by name.
+    :ivar calls: source of call numbers, unique within the incarnation.
+    :ivar budget: budget of control traffic, such as announcements and
+        transfers.
     """
 
     name: str
@@ -52,7 +53,7 @@
     keys: Keys,
     randomness: random.Random,
 ) -> Context:
-    """Return a context with all counts at zero."""
+    """Return a context with empty counters and a full budget."""
     return Context(
         name,
         current,
--- a/packages/teaseldock/teaseldock/coordinator.py
+++ b/packages/teaseldock/teaseldock/coordinator.py
@@ -1,4 +1,4 @@
-"""See the requests of held flows through to one final answer each."""
+"""Coordinate the requests of held flows until their final answers."""
 
 from __future__ import annotations
 
@@ -19,25 +19,27 @@
     from teaseldock import context
     from teaseldock import table
 
-#: Seconds until a hand-on without an answer is sent again.
+#: Seconds until a forwarded request without an answer is sent again.
 REPEAT_S = 0.25
-#: Seconds after which a hand-on without an answer is given up.
+#: Seconds after which a forwarded request without an answer times out.
 FORWARD_TIMEOUT_S = executor.ANSWER_TIMEOUT_S + 1.0
-#: Targets that may refuse a request before the caller is told.
+#: Targets that are tried before the caller gets a refusal.
 ATTEMPTS = 3
-#: Share of requests that may be run again after an unknown outcome.
+#: Retries earned by each request; bounds the share of requests that run again
+#: after an unknown outcome.
 RETRY_SHARE = 0.1
-#: Retries allowed at once after a quiet time.
+#: Retries that can be saved up for a burst.
 RETRY_BURST = 10.0
-#: Weight of a request that no class of the rules names.
+#: Weight of a request that belongs to no class of the rules.
 DEFAULT_WEIGHT = 1.0
 
 
 class Coordinator:
-    """Place, hand on, repeat and answer requests.
+    """Place, forward, retry and answer the requests of held flows.
 
-    Once a guarded request may have reached a server, it is never given to
-    another; :mod:`teaseldock.guard` has the other rules.
+    A guarded request that may have reached a server is never sent to another
+    one. :mod:`teaseldock.guard` enforces the other conditions of at-most-once
+    execution.
     """
 
     def __init__(
@@ -49,11 +51,12 @@
         own_load: typing.Callable[[float], load.Load],
         refuse: typing.Callable[[list[executor.Job], float], list],
     ) -> None:
-        """Start with no request.
+        """Create a coordinator without requests.
 
         :param local_executor: executor of the local server.
-        :param own_load: returns the local load at a time.
-        :param refuse: refuses local jobs, whoever submitted them.
+        :param own_load: returns the load of the local target at a time.
+        :param refuse: refuses jobs of the local executor, both those of this
+            coordinator and those that other agents forwarded.
         """
         self._shared = shared
         self._service = service
@@ -70,21 +73,21 @@
 
     @property
     def exchanges(self) -> exchanges.ExchangeTable:
-        """Return the exchanges seen."""
+        """Return the table of known exchanges."""
         return self._exchanges
 
     @property
     def guard(self) -> guard.Guard:
-        """Return the part that issues challenges."""
+        """Return the guard that issues and checks challenges."""
         return self._guard
 
     @property
     def open(self) -> int:
-        """Return how many requests have no final answer yet."""
+        """Return the number of requests without a final answer."""
         return len(self._pending)
 
     def has_open_request(self, flow: bytes) -> bool:
-        """Tell whether a flow has a request without a final answer."""
+        """Return whether a flow has a request without a final answer."""
         return flow in self._open_flows
 
     def configure(
@@ -92,7 +95,7 @@
         service: table.ServiceTable,
         classes: typing.Iterable[typing.Mapping[str, typing.Any]],
     ) -> None:
-        """Take over the rules' table and classes of requests."""
+        """Apply the table of a service and its request classes."""
         self._service = service
         self._guard.set_service(service)
         self._weights = {
@@ -101,7 +104,7 @@
         }
 
     def weight_of(self, request: base.Request) -> float:
-        """Return the weight that the rules give a request."""
+        """Return the weight of a request's class."""
         return self._weights.get(
             (request.method, request.segment), DEFAULT_WEIGHT
         )
@@ -158,7 +161,7 @@
     def _place(
         self, pending: pendings.Pending, now: float
     ) -> list[messages.Action]:
-        """Give a request to the best target that has not refused it."""
+        """Submit or forward a request to the best target not tried yet."""
         actions: list[messages.Action] = []
         while len(pending.tried) < ATTEMPTS:
             name = self._choose(pending, now)
@@ -180,12 +183,12 @@
             pending.assignee = name
             pending.consented = True
             self._pending[call] = pending
-            verdict, started, evicted = self._executor.submit(job, now)
+            result, started, evicted = self._executor.submit(job, now)
             actions += started
             others = [other for other in evicted if other.call != call]
             actions += self._refuse(others, now)
             stayed = len(others) == len(evicted)
-            if verdict is not executor.SubmitResult.REFUSED and stayed:
+            if result is not executor.SubmitResult.REFUSED and stayed:
                 return actions
             del self._pending[call]
             pending.tried.add(name)
@@ -195,8 +198,8 @@
         own = self._own_load(now)
         own_name = self._shared.name
         if self._must_run_locally(pending.request):
-            # Also while leaving: the flow could not move yet, and a planned
-            # change must not cost its caller the request.
+            # This holds while leaving, too: the flow can't move yet, and a
+            # planned change must not fail the request.
             usable = self._executor.server_up and not pending.tried
             return own_name if usable else None
         excluded = self._shared.view.excluded
@@ -246,10 +249,10 @@
         return self._shared.view.to_peer(pending.assignee, message)
 
     def on_claim(self, message: messages.Claim) -> list[messages.Action]:
-        """Agree that a request runs, if it is still the asker's to run.
+        """Consent to the start of a request that is assigned to the sender.
 
-        From then on it may have run; before, it has not, whatever becomes of
-        the asker.
+        The outcome is unknown from then on if the sender fails. Before, the
+        request has certainly not run.
         """
         pending = self._pending.get(message.call)
         granted = (
@@ -271,7 +274,7 @@
     def on_executed(
         self, message: messages.Executed, now: float
     ) -> list[messages.Action]:
-        """Handle a peer's answer to a hand-on."""
+        """Handle a peer's answer to a forwarded request."""
         pending = self._pending.get(message.call)
         if pending is None or pending.assignee != message.sender:
             self._shared.counters['late_answers'] += 1
@@ -291,7 +294,7 @@
         body: bytes,
         now: float,
     ) -> list[messages.Action]:
-        """Handle what became of a job at the local server."""
+        """Handle the outcome of a job at the local server."""
         pending = self._pending.pop(job.call, None)
         if pending is None:
             return []
@@ -305,7 +308,7 @@
     def refuse_job(
         self, job: executor.Job, now: float
     ) -> list[messages.Action]:
-        """Refuse a local job that waited and will not be run."""
+        """Refuse a queued local job that will not run."""
         pending = self._pending.pop(job.call, None)
         if pending is None:
             return []
@@ -322,7 +325,7 @@
     def settle_local(
         self, job: executor.Job, answer: bytes
     ) -> list[messages.Action]:
-        """Settle a local job with a datagram made by the submitter."""
+        """Settle a local job with an encoded answer."""
         pending = self._pending.pop(job.call, None)
         if pending is None:
             return []
@@ -331,7 +334,7 @@
     def _settle(
         self, pending: pendings.Pending, answer: bytes
     ) -> list[messages.Action]:
-        """Send the final answer and keep it for repeats."""
+        """Send the final answer and store it for retransmissions."""
         self._close(pending)
         self._shared.counters['answered'] += 1
         self._exchanges.store_answer(pending.exchange, answer)
@@ -346,7 +349,7 @@
     def _on_unknown_outcome(
         self, pending: pendings.Pending, now: float
     ) -> list[messages.Action]:
-        """Handle a request without an answer, which may have run."""
+        """Retry or refuse a request that may have run without an answer."""
         if not pending.consented:
             pending.tried.add(pending.assignee)
             return self._place(pending, now)
@@ -366,8 +369,8 @@
     def _refuse_not_run(
         self, pending: pendings.Pending, now: float
     ) -> list[messages.Action]:
-        # An idempotent request that was retried may have run before; then
-        # "not run" would be untrue. Only the outcome is unknown.
+        # A retried idempotent request may have run in an earlier attempt;
+        # "not run" would then be false.
         self._close(pending)
         reason = base.Refusal.NOT_RUN
         if pending.may_have_run:
@@ -394,7 +397,7 @@
         return self._shared.codec.refusal(request, reason, retry_after_s=after)
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Repeat hand-ons, and give up on runners that died."""
+        """Repeat forwarded requests and handle the death of assignees."""
         actions: list[messages.Action] = []
         for call, pending in list(self._pending.items()):
             if pending.assignee != self._shared.name:
@@ -426,7 +429,7 @@
         return self._send_execute(pending, call, now)
 
     def cancel(self, flow: bytes) -> None:
-        """Drop the waiting requests of a flow whose caller gave up."""
+        """Drop the queued requests of a flow after its caller's reset."""
         for call, pending in list(self._pending.items()):
             if pending.exchange.flow != flow:
                 continue
--- a/packages/teaseldock/teaseldock/drain.py
+++ b/packages/teaseldock/teaseldock/drain.py
@@ -1,4 +1,4 @@
-"""Move the flows of a leaving target to their new holders."""
+"""Transfer the flows of a leaving target to their new holders."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
     from teaseldock import placement
     from teaseldock import table
 
-#: Transfers awaiting their acknowledgement at once.
+#: Limit of unacknowledged transfers.
 TRANSFERS_AT_ONCE = 32
 #: Seconds until a transfer without acknowledgement is sent again.
 REPEAT_S = 0.3
-#: Flows without any state that are let go of in one tick.
+#: Limit of flows without state that are released in one tick.
 RELEASES_PER_TICK = 200
-#: Bytes of answers that one transfer carries; a datagram has room for more.
+#: Limit of answer bytes in one transfer; it fits into one datagram.
 RESULT_BYTES = 8_000
-#: Seconds for which an answer may still be asked for again after this process
-#: has ended: a caller repeats a message after 2 to 3 s, then after 4 to 6.
+#: Maximum age of a transferred answer, seconds: a caller retransmits a message
+#: after 2 to 3 s, and again after another 4 to 6 s.
 RESULT_AGE_S = 10.0
-#: Bytes of a transfer and its acknowledgement, without its contents.
+#: Bytes of an empty transfer and its acknowledgement.
 MESSAGE_BYTES = 250
 
 
 class Drain:
-    """Give flows up one by one, each only when its new holder has it.
+    """Transfer flows; each is released when its new holder has confirmed it.
 
-    A flow with a request under way, or in the middle of an upload, stays until
-    that is over: planned changes cut no request.
+    A flow with an open request or an upload in progress stays until that has
+    finished: a planned change interrupts no request.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         held: holder.Holder,
         loads: placement.LoadView,
     ) -> None:
-        """Start with nothing to move."""
+        """Create a drain without transfers."""
         self._loads = loads
         self._shared = shared
         self._service = service
@@ -51,27 +51,28 @@
 
     @property
     def flows_left(self) -> int:
-        """Return how many flows are still held."""
+        """Return the number of flows that are still held."""
         return len(self._holder.flows)
 
     def set_service(self, service: table.ServiceTable) -> None:
-        """Take over changed rules."""
+        """Apply the changed table of the service."""
         self._service = service
 
     def successor_of(self, flow: bytes) -> str | None:
-        """Return where a flow went, or None."""
+        """Return the instance that a flow moved to, or None."""
         return self._moved.get(flow)
 
     def stop(self) -> None:
-        """Start no more transfers, after a change was taken back.
+        """Stop draining after the change was reverted.
 
-        Those on their way are seen through: their receivers may hold the
-        flows already, and two holders would both feed the caller.
+        Unacknowledged transfers are still repeated: their receivers may
+        already hold the flows, and two holders would both send notifications
+        to the caller.
         """
         self._moved.clear()
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Move flows, as many at once as the bounds allow."""
+        """Move flows within the limits."""
         actions = self.repeat_transfers(now)
         releases = 0
         for flow in list(self._holder.flows):
@@ -88,7 +89,7 @@
         return actions
 
     def repeat_transfers(self, now: float) -> list[messages.Action]:
-        """Repeat the transfers that were not acknowledged."""
+        """Repeat unacknowledged transfers; drop those to dead instances."""
         actions: list[messages.Action] = []
         for flow, (name, repeat_at) in list(self._transfers.items()):
             if self._shared.view.is_dead(name):
@@ -98,10 +99,10 @@
         return actions
 
     def move_feeds(self, now: float) -> list[messages.Action]:
-        """Move the flows that have feeds, because the server is gone.
+        """Move the flows that have feeds while the server is down.
 
-        Requests can be handed on one by one; a feed would stay silent until
-        the server comes back, while its caller takes the last state for true.
+        Single requests can be forwarded. A feed would be silent until the
+        server is back, and its caller would take its last state as current.
         """
         actions = self.repeat_transfers(now)
         for flow in self._holder.feeds.flows():
@@ -116,10 +117,10 @@
     def move_flow(
         self, flow: bytes, now: float
     ) -> tuple[str | None, list[messages.Action]]:
-        """Move one flow ahead of its turn, because a request came.
+        """Move one flow at once because a request arrived.
 
-        :returns: the new holder, or None if the flow must stay for now; its
-            request is then handed on to run elsewhere.
+        :returns: the new holder and the messages to send; the holder is None
+            if the flow must stay for now. The request is then forwarded.
         """
         name = self.destination_of(flow, now)
         if name is None or not self._holder.may_move(flow, now):
@@ -144,7 +145,7 @@
         return None if name == own else name
 
     def _least_loaded(self, now: float) -> str:
-        """Return the peer that holds the fewest flows, or oneself."""
+        """Return the instance with the fewest flows for its weight."""
         if self._shared.name not in self._service.weights:
             return self._shared.name
         excluded = self._shared.view.excluded
@@ -153,7 +154,7 @@
         )
 
     def _has_state(self, flow: bytes, now: float) -> bool:
-        """Tell whether a new holder must be told anything of a flow."""
+        """Return whether a flow has state that its new holder needs."""
         return self._holder.feeds.has(flow) or bool(self._results(flow, now))
 
     def _release_flow(self, flow: bytes, now: float) -> list[messages.Action]:
@@ -183,10 +184,10 @@
         return self._shared.view.to_peer(name, message)
 
     def _results(self, flow: bytes, now: float) -> list[messages.Result]:
-        """Return the answers that must outlive this process.
+        """Return the answers that the new holder needs, newest first.
 
-        While the process stays, repeats are sent to it by their challenge.
-        Requests without a challenge may run again.
+        While this process runs, retransmissions reach it by their challenge.
+        Requests without a challenge are idempotent and may run again.
         """
         if not self._shared.view.is_leaving:
             return []
@@ -205,13 +206,13 @@
     def on_transferred(
         self, message: messages.Transferred, now: float
     ) -> list[messages.Action]:
-        """Give a flow up that its new holder has confirmed."""
+        """Release a flow that its new holder has confirmed."""
         sent = self._transfers.pop(message.flow, None)
         if sent is None or sent[0] != message.sender:
             return []
         if not self._holder.may_move(message.flow, now):
-            # A request came in between; the transfer is sent once more when
-            # it is done, as the receiver holds the flow already.
+            # A request arrived in the meantime. The transfer is repeated to
+            # the same receiver, which already holds the flow.
             self._transfers[message.flow] = (message.sender, now + REPEAT_S)
             return []
         self._moved[message.flow] = message.sender
--- a/packages/teaseldock/teaseldock/exchanges.py
+++ b/packages/teaseldock/teaseldock/exchanges.py
@@ -1,4 +1,4 @@
-"""Remember exchanges, so that a repeated message is never a second request."""
+"""Keep exchanges to recognise retransmitted messages."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 if typing.TYPE_CHECKING:
     from teaseldock.codecs import base
 
-#: Bytes of answers kept for repeats; beyond it the oldest lose their text.
+#: Bytes of answers stored for retransmissions; the oldest are evicted first.
 ANSWER_BYTES = 8_000_000
-#: Longest time a caller's repeats of one message can arrive, seconds.
+#: Seconds within which retransmissions of one message can arrive.
 EXCHANGE_LIFETIME_S = challenge.CHALLENGE_LIFETIME_S
 
 
@@ -21,8 +21,8 @@
     """State of one message from a caller.
 
     :ivar guarded: whether the request must not run twice.
-    :ivar answer: datagram sent to the caller; None while there is none.
-    :ivar answer_evicted: whether an answer was sent and its text was given up.
+    :ivar answer: datagram sent to the caller, or None.
+    :ivar answer_evicted: whether an answer was sent, but is no longer stored.
     """
 
     __slots__ = (
@@ -37,7 +37,7 @@
     def __init__(
         self, flow: bytes, request: bytes, began_at: float, *, guarded: bool
     ) -> None:
-        """Begin an exchange.
+        """Create an exchange without an answer.
 
         :param request: the caller's datagram.
         """
@@ -50,22 +50,22 @@
 
 
 class NonceUse(typing.NamedTuple):
-    """Use of a challenge: the exchange that it let run, and when."""
+    """Use of a challenge: the exchange that it admitted, and the time."""
 
     exchange: bytes
     used_at: float
 
 
 class ExchangeTable:
-    """Find exchanges by message and by challenge.
+    """Exchanges by message, by flow and by challenge.
 
-    A challenge's use is remembered for as long as the challenge is valid,
-    whatever memory is short: forgetting it would let a duplicate run again,
-    which shows as a doubled order in the server's log.
+    The use of a challenge is kept for as long as the challenge is valid, even
+    when memory is short: without it a duplicate would run again at the
+    server.
     """
 
     def __init__(self) -> None:
-        """Start with no exchange."""
+        """Create an empty table."""
         self._exchanges: collections.OrderedDict[bytes, Exchange] = (
             collections.OrderedDict()
         )
@@ -92,7 +92,7 @@
         self._by_flow.setdefault(exchange.flow, []).append(exchange)
 
     def remove(self, key: bytes) -> None:
-        """Forget an exchange of which nothing may be remembered."""
+        """Remove an exchange, so that its message counts as new."""
         exchange = self._exchanges.pop(key, None)
         if exchange is not None:
             self._unlink(exchange)
@@ -104,9 +104,9 @@
             del self._by_flow[exchange.flow]
 
     def use_nonce(self, nonce: int, key: bytes, now: float) -> bytes | None:
-        """Note the use of a challenge.
+        """Record the use of a challenge.
 
-        :returns: the exchange that used it before, or None for the first.
+        :returns: the exchange that used it before, or None on the first use.
         """
         known = self._nonces.get(nonce)
         if known is not None:
@@ -120,7 +120,7 @@
         return known.exchange if known else None
 
     def store_answer(self, exchange: Exchange, answer: bytes) -> None:
-        """Keep an answer for repeats of its message."""
+        """Store an answer for retransmissions of its message."""
         exchange.answer = answer
         self._answers.append(exchange)
         self._answer_bytes += len(answer)
@@ -135,7 +135,7 @@
         return list(self._by_flow.get(flow, ()))
 
     def expire(self, now: float) -> None:
-        """Forget what no repeat can ask for any more."""
+        """Remove entries that no retransmission can need any more."""
         oldest = now - EXCHANGE_LIFETIME_S
         while self._exchanges:
             key = next(iter(self._exchanges))
@@ -147,13 +147,14 @@
             self._answer_bytes -= len(dropped.answer or b'')
         while self._nonces:
             nonce = next(iter(self._nonces))
-            # Twice the lifetime: issue and use are each up to one old.
+            # Twice the lifetime: a challenge may be used one lifetime after
+            # its issue, and its message repeated one lifetime after its use.
             if self._nonces[nonce].used_at > oldest - EXCHANGE_LIFETIME_S:
                 break
             del self._nonces[nonce]
 
     def results(self, flow: bytes, *, since: float) -> list[messages.Result]:
-        """Return answers that a caller may still ask for, oldest first.
+        """Return the answers of guarded requests, oldest first.
 
         :param since: exchanges that began earlier are left out.
         """
@@ -173,7 +174,7 @@
         *,
         codec: base.Codec,
     ) -> None:
-        """Take over answers from the flow's former holder."""
+        """Store answers transferred by the flow's previous holder."""
         for result in results:
             request = codec.read_caller(result.request)
             key = flow + request.exchange
--- a/packages/teaseldock/teaseldock/executor.py
+++ b/packages/teaseldock/teaseldock/executor.py
@@ -1,4 +1,4 @@
-"""Run requests at the local server: slots, queue, priorities, refusals."""
+"""Admit requests to the local server: slots, priority queue, refusals."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 MAX_WAIT_S = 1.0
 #: Service time assumed before the first answer, seconds.
 INITIAL_SERVICE_S = 0.05
-#: Weight of one new observation in the mean service time.
+#: Weight of a new sample in the moving average of the service time.
 SMOOTHING = 0.05
-#: Seconds over which a cold server's slots are opened.
+#: Seconds of slow start, over which a cold server's slots are opened.
 RAMP_S = 4.0
-#: Seconds that a server's own refusal takes one slot away.
+#: Seconds for which one slot is closed after the server has shed a request.
 SHED_PENALTY_S = 1.0
-#: Seconds without an answer after which an answer is given up.
+#: Seconds after which a request without an answer times out.
 ANSWER_TIMEOUT_S = 20.0
-#: Shortest and longest time to come back told to a caller, seconds.
+#: Bounds of the retry-after time in refusals, seconds.
 RETRY_AFTER_MIN_S = 1
 RETRY_AFTER_MAX_S = 30
-#: Seconds over which work is summed for a report.
+#: Seconds over which the weight of started requests is summed for a report.
 WORK_WINDOW_S = 1.0
 
 
 class SubmitResult(enum.Enum):
-    """What became of a job that was submitted."""
+    """Result of submitting a job."""
 
     STARTED = 'started'
     QUEUED = 'queued'
@@ -40,12 +40,12 @@
 
 
 class Job(typing.NamedTuple):
-    """A request on its way to the local server.
+    """A request for the local server.
 
-    :ivar call: number within this agent's incarnation.
-    :ivar deadline: time by which an answer is of use, or infinity.
-    :ivar flow: flow key, or empty for a request handed on to here.
-    :ivar origin: what the submitter needs to find its state again.
+    :ivar call: number, unique within this agent's incarnation.
+    :ivar deadline: time after which an answer is useless, or infinity.
+    :ivar flow: flow key, or empty for a request forwarded by a peer.
+    :ivar origin: opaque state of the submitter.
     """
 
     call: int
@@ -57,10 +57,10 @@
 
 
 class Executor:
-    """Hold back what the server can't run at once, and refuse the rest.
+    """Limit the concurrency of the server, queue and refuse requests.
 
-    Nothing that is refused here was given to the server, so that a refusal
-    may truly say "not run".
+    A refused request was never sent to the server, so that its caller can be
+    answered "not run".
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         randomness: random.Random,
         now: float,
     ) -> None:
-        """Start with an idle, cold server.
+        """Create an executor for an idle, cold server.
 
         :param slots: requests that the server runs at once.
         """
@@ -93,20 +93,20 @@
 
     @property
     def server_up(self) -> bool:
-        """Tell whether the server is believed to answer."""
+        """Return whether the server is assumed to be up."""
         return self._server_up
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing runs and nothing waits."""
+        """Return whether no job is running or queued."""
         return not self._running and not self._queue
 
     def set_slots(self, slots: int) -> None:
-        """Take over a changed number of slots."""
+        """Set the number of slots."""
         self._slots = slots
 
     def load(self, now: float, *, flows: int, accepting: bool) -> loads.Load:
-        """Return the report that travels to peers."""
+        """Return the load to report to peers."""
         self._expire_work(now)
         return loads.Load(
             len(self._running),
@@ -125,7 +125,7 @@
         return usable
 
     def expected_wait(self, weight: float, now: float) -> float:
-        """Return the seconds that a request of a weight would wait."""
+        """Return the expected queueing time of a request, seconds."""
         free = self._usable_slots(now) - len(self._running)
         if free > 0:
             return 0.0
@@ -133,11 +133,11 @@
         return (ahead + 1) * self._service_s / self._usable_slots(now)
 
     def retry_after(self, now: float) -> int:
-        """Return seconds after which a refused caller should come back.
+        """Return the seconds after which a refused caller should retry.
 
-        Twice the time in which the present queue is worked off, spread at
-        random over its own length, so that callers refused together don't
-        return together.
+        The value is random between one and three times the time in which the
+        present queue drains, so that callers refused together don't retry
+        together.
         """
         wait = self.expected_wait(0.0, now) + MAX_WAIT_S
         spread = self._random.uniform(wait, 3 * wait)
@@ -148,8 +148,8 @@
     ) -> tuple[SubmitResult, list[messages.ToServer], list[Job]]:
         """Start, queue or refuse a job.
 
-        :returns: the verdict, requests for the server, and jobs that were
-            queued before and are refused now to make room.
+        :returns: the result, requests for the server, and jobs that are
+            evicted from the queue and must be refused.
         """
         if not self._server_up:
             return SubmitResult.REFUSED, [], []
@@ -162,7 +162,7 @@
         return SubmitResult.QUEUED, [], self._evict(now)
 
     def _evict(self, now: float) -> list[Job]:
-        """Refuse at once what the newest job pushed beyond the bound."""
+        """Evict the last jobs of a queue that exceeds its bound."""
         room = int(
             MAX_WAIT_S * self._usable_slots(now) / max(self._service_s, 1e-4)
         )
@@ -184,11 +184,11 @@
     def on_server_answer(
         self, call: int, now: float, *, shed: bool
     ) -> tuple[Job | None, list[messages.ToServer], list[Job]]:
-        """Take an answer of the server.
+        """Handle an answer of the server.
 
         :param shed: whether the server refused to run the request.
-        :returns: the job it belongs to (None for late answers), requests
-            for the server, and jobs whose deadline is out of reach.
+        :returns: the answered job (None for late answers), requests for the
+            server, and refused jobs that can't meet their deadline.
         """
         entry = self._running.pop(call, None)
         if entry is None:
@@ -216,22 +216,22 @@
         return started, refused
 
     def running_job(self, call: int) -> Job | None:
-        """Return a job that has a slot, or None."""
+        """Return a job that occupies a slot, or None."""
         entry = self._running.get(call)
         return entry[0] if entry else None
 
     def release_slot(
         self, call: int, now: float
     ) -> tuple[list[messages.ToServer], list[Job]]:
-        """Give the slot of a job that was never started to others.
+        """Release the slot of a job that was not sent to the server.
 
-        :returns: requests for the server, and jobs refused.
+        :returns: requests for the server, and refused jobs.
         """
         self._running.pop(call, None)
         return self._fill_slots(now)
 
     def cancel(self, call: int) -> Job | None:
-        """Take a job out of the queue; None if it runs or is unknown."""
+        """Remove a queued job and return it; None if it is not queued."""
         for job in self._queue:
             if job.call == call:
                 self._queue.remove(job)
@@ -241,18 +241,18 @@
     def tick(
         self, now: float
     ) -> tuple[list[messages.ToServer], list[Job], list[Job]]:
-        """Give up on answers that don't come and fill free slots.
+        """Time out unanswered jobs and fill free slots.
 
-        :returns: requests for the server, jobs refused, jobs whose outcome
-            is unknown.
+        :returns: requests for the server, refused jobs, and jobs whose
+            outcome is unknown.
         """
-        lost = [
+        timed_out = [
             job
             for job, started_at in self._running.values()
             if now - started_at > ANSWER_TIMEOUT_S
             or now > job.deadline + ANSWER_TIMEOUT_S
         ]
-        for job in lost:
+        for job in timed_out:
             del self._running[job.call]
         expired = [
             job for job in self._queue if job.deadline < now + self._service_s
@@ -260,12 +260,12 @@
         for job in expired:
             self._queue.remove(job)
         started, refused = self._fill_slots(now)
-        return started, refused + expired, lost
+        return started, refused + expired, timed_out
 
     def server_lost(self) -> tuple[list[Job], list[Job]]:
-        """Note that the server is gone.
+        """Mark the server as down and drop all jobs.
 
-        :returns: jobs that never ran, and jobs whose outcome is unknown.
+        :returns: jobs that have not run, and jobs whose outcome is unknown.
         """
         self._server_up = False
         queued = list(self._queue)
@@ -275,7 +275,7 @@
         return queued, running
 
     def server_recovered(self, now: float) -> None:
-        """Note that the server answers again, and is cold."""
+        """Mark a server that was down as up and cold."""
         if self._server_up:
             return
         self._server_up = True
--- a/packages/teaseldock/teaseldock/feeds.py
+++ b/packages/teaseldock/teaseldock/feeds.py
@@ -1,4 +1,4 @@
-"""Keep the feeds of the flows that this agent holds."""
+"""Keep the feeds of held flows (CoAP Observe, RFC 7641)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from teaseldock import messages
 
-#: Seconds until a feed that the server didn't take up is tried again.
+#: Seconds until an unconfirmed registration of a feed is repeated.
 RESUME_REPEAT_S = 1.0
 #: Observe numbers are 24 bits (RFC 7641 section 3.4).
 _SEQUENCE_MODULUS = 1 << 24
@@ -16,10 +16,12 @@
 
 
 class FeedState:
-    """A feed and the server call that serves it.
+    """A feed and the state of its registration at the server.
 
-    :ivar confirmed: whether the server has answered under this call.
-    :ivar message_id: of the last notification sent to the caller.
+    :ivar sequence: Observe number of the last notification.
+    :ivar confirmed: whether the server has confirmed the registration.
+    :ivar message_id: identifier of the last notification sent to the caller.
+    :ivar resume_at: time at which an unconfirmed registration is repeated.
     """
 
     __slots__ = (
@@ -34,9 +36,9 @@
     def __init__(
         self, flow: bytes, request: base.Request, sequence: int
     ) -> None:
-        """Begin a feed that the server has yet to confirm.
+        """Create a feed without a confirmed registration.
 
-        :param sequence: last Observe number that the caller has seen.
+        :param sequence: last Observe number sent to the caller.
         """
         self.flow = flow
         self.request = request
@@ -52,10 +54,10 @@
 
 
 class FeedTable:
-    """Find feeds by server call and by flow."""
+    """Feeds by server call and by flow."""
 
     def __init__(self) -> None:
-        """Start with no feed."""
+        """Create an empty table."""
         self._by_call: dict[int, FeedState] = {}
         self._by_flow: dict[bytes, set[int]] = {}
 
@@ -63,17 +65,17 @@
         return len(self._by_call)
 
     def get(self, call: int) -> FeedState | None:
-        """Return the feed that a call serves, or None."""
+        """Return the feed of a call, or None."""
         return self._by_call.get(call)
 
     def of_flow(self, flow: bytes) -> list[tuple[int, FeedState]]:
-        """Return the calls and feeds of a flow."""
+        """Return the feeds of a flow with their calls."""
         return [
             (call, self._by_call[call]) for call in self._by_flow.get(flow, ())
         ]
 
     def has(self, flow: bytes) -> bool:
-        """Tell whether a flow has any feed."""
+        """Return whether a flow has a feed."""
         return flow in self._by_flow
 
     def flows(self) -> list[bytes]:
@@ -104,14 +106,14 @@
         return None
 
     def export(self, flow: bytes) -> list[messages.Feed]:
-        """Return a flow's feeds as another holder needs them."""
+        """Return a flow's feeds for a transfer."""
         return [
             messages.Feed(feed.request.body, feed.sequence)
             for _, feed in self.of_flow(flow)
         ]
 
     def due_registrations(self, now: float) -> list[int]:
-        """Return calls whose registration is due to be sent again."""
+        """Return the calls whose registration must be repeated now."""
         due = []
         for call, feed in self._by_call.items():
             if not feed.confirmed and now >= feed.resume_at:
@@ -119,7 +121,7 @@
         return due
 
     def server_lost(self, now: float) -> None:
-        """Mark every feed as unknown to the server."""
+        """Mark all registrations as unconfirmed and due."""
         for feed in self._by_call.values():
             feed.confirmed = False
             feed.resume_at = now
--- a/packages/teaseldock/teaseldock/flow_store.py
+++ b/packages/teaseldock/teaseldock/flow_store.py
@@ -1,27 +1,27 @@
-"""Hold flows in little memory, and forget those that are idle."""
+"""Store flows in little memory and expire idle ones."""
 
 from __future__ import annotations
 
 import typing
 
-#: Seconds after which an idle flow without state is forgotten, at the least.
+#: Minimum seconds after which an idle flow without state expires.
 IDLE_FLOW_S = 150.0
 
 
 class FlowStore:
     """Map flow keys to small values in two generations.
 
-    A flow that is used moves to the young generation; what is still in the
-    old one when the generations change was idle for :data:`IDLE_FLOW_S` to
-    twice that. No time is kept for each flow.
+    A used flow moves to the young generation. Flows that are still in the old
+    one at a rotation have been idle for one to two times :data:`IDLE_FLOW_S`.
+    No time is stored per flow.
     """
 
     __slots__ = ('_young', '_old', '_rotate_at')
 
     def __init__(self, now: float) -> None:
-        """Start empty.
+        """Create an empty store.
 
-        :param now: seconds on a clock that never goes back.
+        :param now: seconds of a monotonic clock.
         """
         self._young: dict[bytes, typing.Any] = {}
         self._old: dict[bytes, typing.Any] = {}
@@ -38,7 +38,7 @@
         yield from self._old
 
     def get(self, flow: bytes) -> typing.Any:
-        """Return a flow's value and count the flow as used, or None."""
+        """Return a flow's value and mark the flow as used, or None."""
         value = self._young.get(flow)
         if value is not None:
             return value
@@ -48,7 +48,7 @@
         return value
 
     def peek(self, flow: bytes) -> typing.Any:
-        """Return a flow's value without counting it as used, or None."""
+        """Return a flow's value without marking it as used, or None."""
         value = self._young.get(flow)
         return self._old.get(flow) if value is None else value
 
@@ -65,10 +65,10 @@
     def expire(
         self, now: float, keep: typing.Callable[[bytes, typing.Any], bool]
     ) -> list[bytes]:
-        """Change generations if it is time.
+        """Rotate the generations if they are due.
 
-        :param keep: tells whether an idle flow must stay all the same.
-        :returns: the flows that were forgotten.
+        :param keep: returns whether an idle flow must not expire.
+        :returns: the expired flows.
         """
         if now < self._rotate_at:
             return []
--- a/packages/teaseldock/teaseldock/guard.py
+++ b/packages/teaseldock/teaseldock/guard.py
@@ -1,8 +1,9 @@
 """Let a request that is not idempotent run at most once.
 
-Three rules together: it runs only with a challenge that this incarnation
-issued; a challenge lets one message run; and whoever can't tell says "outcome
-unknown", neither running the request nor calling it not run.
+Three rules ensure this. A request runs only with a challenge that the current
+incarnation of the running process issued. A challenge admits one message. A
+process that can't determine whether a request ran answers "outcome unknown":
+it neither runs the request nor answers "not run".
 """
 
 from __future__ import annotations
@@ -26,28 +27,28 @@
     from teaseldock import flow as flows
     from teaseldock import table
 
-#: Agents believed dead from which on the cause may be a cut: one alone has
-#: mostly died.
+#: Number of dead agents from which on a network partition is assumed: a single
+#: one has usually crashed.
 PARTITION_DEAD_AGENTS = 2
-#: Seconds for which that is remembered: those behind a cut are taken back one
-#: by one.
+#: Seconds for which a partition is assumed after its last sign: its members
+#: rejoin one by one.
 PARTITION_HOLD_S = 10.0
 
 
 class Verdict(enum.Enum):
-    """What to do with a guarded request."""
+    """Verdict on a guarded request."""
 
-    #: It may run now, this once.
+    #: It may run now.
     RUN = 'run'
-    #: Carry out the ruling's actions: it is challenged, or handed to the one
-    #: process that may run it.
+    #: Carry out the decision's actions: the request is challenged, or handed
+    #: over to the only process that may run it.
     ACT = 'act'
-    #: It may have run; nobody here can tell.
+    #: It may have run, which can't be determined here.
     UNKNOWN = 'unknown'
 
 
 class Decision(typing.NamedTuple):
-    """A verdict, and the actions that go with ``ACT``."""
+    """A verdict and, for ``ACT``, its actions."""
 
     verdict: Verdict
     actions: list[messages.Action]
@@ -58,7 +59,7 @@
 
 
 class Guard:
-    """Issue challenges, and judge the requests that answer them."""
+    """Issue challenges and check the requests that answer them."""
 
     def __init__(
         self,
@@ -66,9 +67,9 @@
         service: table.ServiceTable,
         known: exchanges.ExchangeTable,
     ) -> None:
-        """Start with no challenge issued.
+        """Create a guard.
 
-        :param known: remembers which challenges were used.
+        :param known: table that records the use of challenges.
         """
         self._shared = shared
         self._service = service
@@ -79,15 +80,15 @@
         self._number = load.instance_number(shared.name)
 
     def set_service(self, service: table.ServiceTable) -> None:
-        """Take over changed rules."""
+        """Apply the changed table of the service."""
         self._service = service
 
     def evaluate(
         self, flow: bytes, key: bytes, request: base.Request, now: float
     ) -> Decision:
-        """Judge a guarded request whose message was not seen before.
+        """Decide on a guarded request of an unknown exchange.
 
-        :param key: of its exchange.
+        :param key: key of the exchange.
         """
         if not request.echo:
             return self.challenge(flow, request, now)
@@ -104,16 +105,16 @@
         if now - given.issued_s > challenge.CHALLENGE_LIFETIME_S:
             return _UNKNOWN
         if self._exchanges.use_nonce(given.nonce, key, now) is not None:
-            # The same challenge under another message: the first may have
-            # run, so neither "not run" nor a second run would be right.
+            # Another message used this challenge and may have run: neither
+            # "not run" nor a second run would be correct.
             return _UNKNOWN
         return _RUN
 
     def has_valid_echo(self, flow: bytes, request: base.Request) -> bool:
-        """Tell whether a request answers a challenge sent to its flow.
+        """Return whether a request carries a valid challenge of its flow.
 
-        Any process of the fleet may have issued it: only who receives the
-        flow's packets can know the value.
+        Any process of the fleet may have issued it: the value proves that the
+        caller receives packets at its address.
         """
         if not request.echo:
             return False
@@ -126,7 +127,7 @@
     def challenge(
         self, flow: bytes, request: base.Request, now: float
     ) -> Decision:
-        """Ask a caller to send its request again with a challenge."""
+        """Ask a caller to send its request again with a new challenge."""
         self._shared.counters['challenges'] += 1
         issued = challenge.Challenge(
             self._number,
@@ -146,11 +147,12 @@
         given: challenge.Challenge,
         now: float,
     ) -> Decision:
-        """Hand a request to the one process that may run it.
+        """Hand a request over to its challenger, which alone may run it.
 
-        It goes there also if that one is believed dead: answered at once,
-        every order ended as "outcome unknown" whose caller's packets reach
-        both sides of a cut, and more of them in the second after its end.
+        The challenger gets it even if it is considered dead. An immediate
+        answer would be "outcome unknown" for each request whose caller
+        reaches both sides of a partition, and for more requests in the second
+        after the partition ends.
         """
         endpoint = self._challenger_endpoint(given.holder, given.incarnation)
         if endpoint is None:
@@ -176,19 +178,19 @@
     def _challenger_endpoint(
         self, holder: int, incarnation: int
     ) -> flows.Endpoint | None:
-        """Return where the challenger is, None if its run has ended."""
+        """Return the challenger's endpoint, None if it left or restarted."""
         name = self._instance_by_number(holder)
         if name is None:
             return None
-        heard = self._shared.view.incarnation(name)
-        if heard not in (0, incarnation):
+        current = self._shared.view.incarnation(name)
+        if current not in (0, incarnation):
             return None
         return self._shared.view.endpoint(name)
 
     def evaluate_overdue(
         self, now: float
     ) -> list[tuple[handovers.Handover, Decision]]:
-        """Judge handed over requests whose challenger has not answered."""
+        """Decide on handovers whose challenger is dead or gone."""
         if self._shared.view.dead_count >= PARTITION_DEAD_AGENTS:
             self._partition_seen_at = now
         return [
@@ -212,10 +214,11 @@
     def _may_ask_resend(
         self, request: base.Request, holder: int, now: float
     ) -> bool:
-        """Tell whether the caller may reach a challenger that we can't.
+        """Return whether the caller may reach a challenger that is dead here.
 
-        Handed to it as well, the order could run there while its caller
-        waits for the answer to the message that it sends next.
+        The request is then resent instead of handed over: with both, it could
+        run from the handover while its caller waits for the answer to the
+        resent message.
         """
         name = self._instance_by_number(holder)
         return (
@@ -228,8 +231,7 @@
     def _ask_resend(self, flow: bytes, request: base.Request) -> Decision:
         """Ask a caller to send its request again with the same challenge.
 
-        Whichever message reaches the challenger first may run there, and no
-        other.
+        Only the first message that reaches the challenger may run there.
         """
         self._shared.counters['challenges_again'] += 1
         answer = self._shared.codec.challenge(request, request.echo)
@@ -245,7 +247,7 @@
         return name is not None and self._shared.view.is_dead(name)
 
     def _instance_by_number(self, number: int) -> str | None:
-        """Return the other instance of the service that has a number."""
+        """Return the name of the peer with an instance number, or None."""
         for name in self._service.weights:
             if name == self._shared.name:
                 continue
--- a/packages/teaseldock/teaseldock/handovers.py
+++ b/packages/teaseldock/teaseldock/handovers.py
@@ -1,9 +1,10 @@
-"""Remember orders that were handed to their challenger, until it is over.
+"""Keep requests that were handed over to their challenger.
 
-Only the process that challenged an order may run it. One that is believed dead
-may be behind a cut, or just back from one, so that an order goes there all the
-same; the caller's next copy may reach the other side by itself. Who has really
-died answers nothing: then this process does, in the end.
+Only the process that challenged a request may run it. A challenger that is
+considered dead may be behind a network partition, or have just rejoined, so
+that requests are handed over to it in any case. The caller's retransmission
+may also reach the other side directly. If the challenger has died, this
+process answers the request after a wait.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 if typing.TYPE_CHECKING:
     from teaseldock.codecs import base
 
-#: Seconds until the outcome of an order is told as unknown if its challenger
-#: is believed dead then: callers repeat a message after 2 to 3 s (RFC 7252),
-#: and the copy may find the challenger.
+#: Seconds until a request is answered "outcome unknown" if its challenger is
+#: considered dead then: callers retransmit a message after 2 to 3 s
+#: (RFC 7252), and the copy may reach the challenger.
 ANSWER_WAIT_S = 3.2
-#: Orders remembered, some 1.5 KB each; the oldest are forgotten first, and
-#: their callers' next copies begin anew.
+#: Limit of requests kept, about 1.5 KB each; the oldest are evicted first, and
+#: their callers' next retransmissions count as first handovers.
 MAX_HANDOVERS = 4096
 
 
 class Handover(typing.NamedTuple):
-    """An order that only its challenger may run.
+    """A request that was handed over to its challenger.
 
     :ivar holder: number of the instance that issued the challenge.
-    :ivar incarnation: of that instance's agent then.
-    :ivar handed_over_at: when it was handed over first, seconds.
+    :ivar incarnation: incarnation of that instance's agent at the issue.
+    :ivar handed_over_at: time of the first handover, seconds.
     """
 
     flow: bytes
@@ -39,18 +40,18 @@
 
 
 class Handovers:
-    """Orders handed over lately, oldest first."""
+    """Recent handovers, oldest first."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._handovers: collections.OrderedDict[bytes, Handover] = (
             collections.OrderedDict()
         )
 
     def add(self, key: bytes, handover: Handover) -> None:
-        """Remember an order; a further copy changes nothing.
+        """Add a handover; further copies of its message are ignored.
 
-        :param key: of its exchange.
+        :param key: key of its exchange.
         """
         if key in self._handovers:
             return
@@ -59,7 +60,7 @@
             self._handovers.popitem(last=False)
 
     def pop_due(self, now: float) -> list[Handover]:
-        """Return the orders whose wait is over, and forget them."""
+        """Remove and return the handovers whose wait is over."""
         due = []
         while self._handovers:
             key, handover = next(iter(self._handovers.items()))
--- a/packages/teaseldock/teaseldock/holder.py
+++ b/packages/teaseldock/teaseldock/holder.py
@@ -1,4 +1,4 @@
-"""Hold flows: pass their requests to the server and their answers back."""
+"""Hold flows: pass requests to the server and answers to the callers."""
 
 from __future__ import annotations
 
@@ -24,19 +24,20 @@
     from teaseldock import proxy_header
     from teaseldock import table
 
-#: Seconds after its last part in which a transfer in parts is kept together.
+#: Seconds after the last block for which an upload in blocks pins its flow to
+#: this server.
 UPLOAD_IDLE_S = 5.0
 
 
-#: Values of the flow store: the bucket, and with this bit a caller who has
-#: proved that the flow's address is its own. Shared objects, no memory of a
-#: flow's own.
+#: Set in a value of the flow store if the caller's address is verified.
 _VERIFIED_BIT = 0x100
+#: Values of the flow store: the bucket, combined with the bit above. The
+#: objects are shared, so that a flow needs no memory for its value.
 _FLOW_VALUES = tuple(range(2 * _VERIFIED_BIT))
 
 
 class Holder:
-    """Own the flows that were placed at this instance for one service."""
+    """Serve the flows of one service that were placed at this instance."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         slots: int,
         now: float,
     ) -> None:
-        """Start holding nothing.
+        """Create a holder without flows.
 
         :param slots: requests that the local server runs at once.
         """
@@ -83,17 +84,17 @@
 
     @property
     def coordinator(self) -> coordinator.Coordinator:
-        """Return the part that sees requests through."""
+        """Return the coordinator of the requests of held flows."""
         return self._coordinator
 
     @property
     def server_up(self) -> bool:
-        """Tell whether the local server is believed to answer."""
+        """Return whether the local server is assumed to be up."""
         return self._executor.server_up
 
     @property
     def idle(self) -> bool:
-        """Tell whether no request is anywhere between arrival and answer."""
+        """Return whether no request is in progress."""
         return (
             self._executor.idle
             and not self._coordinator.open
@@ -107,13 +108,13 @@
         *,
         slots: int,
     ) -> None:
-        """Take over changed rules."""
+        """Apply changed rules."""
         self._service = service
         self._executor.set_slots(slots)
         self._coordinator.configure(service, rules['request_classes'])
 
     def set_accepting(self, accepting: bool) -> None:
-        """Say whether this target may get new work."""
+        """Set whether this target accepts new work."""
         self._accepting = accepting
 
     def load(self, now: float) -> load_reports.Load:
@@ -123,21 +124,24 @@
         )
 
     def reports(self, now: float, *, to: str) -> bytes:
-        """Return this target's load and others, to go with a message.
+        """Return packed load reports to piggyback on a message.
 
-        :param to: the peer that the message goes to.
+        :param to: name of the peer that receives the message.
         """
         return self._loads.pack_reports(self.load(now), now, to=to)
 
     def may_move(self, flow: bytes, now: float) -> bool:
-        """Tell whether nothing of a flow depends on this very server."""
+        """Return whether a flow can move to another server now.
+
+        A flow with an open request or an upload in progress can't.
+        """
         if self._coordinator.has_open_request(flow):
             return False
-        last_part = self._uploads.get(flow)
-        return last_part is None or now - last_part > UPLOAD_IDLE_S
+        last_block_at = self._uploads.get(flow)
+        return last_block_at is None or now - last_block_at > UPLOAD_IDLE_S
 
     def add_flow(self, flow: bytes) -> None:
-        """Become the holder of a flow."""
+        """Add a flow to the held flows."""
         if self._flows.get(flow) is None:
             bucket = flows.bucket_of(flow, key=self._shared.keys.flow_hash)
             self._flows.put(flow, _FLOW_VALUES[bucket])
@@ -148,21 +152,21 @@
         return None if value is None else value & (_VERIFIED_BIT - 1)
 
     def mark_verified(self, flow: bytes) -> None:
-        """Note that a held flow's caller has proved its address."""
+        """Mark the caller's address of a held flow as verified."""
         bucket = self.bucket_of(flow)
         if bucket is not None:
             self._flows.put(flow, _FLOW_VALUES[bucket | _VERIFIED_BIT])
 
     def _is_address_verified(self, flow: bytes, request: base.Request) -> bool:
-        """Tell whether a caller is where it says it is.
+        """Return whether the source address of a request is verified.
 
-        Anyone can send under another's address. Without proof the answers,
-        and a feed's for hours, would go to a victim; it would show as traffic
-        to addresses that never asked.
+        Source addresses can be spoofed. Without verification a victim would
+        receive the answers, and the notifications of a feed for hours.
         """
         value = self._flows.peek(flow)
         if value is None or value & _VERIFIED_BIT:
-            # A flow that is not held was handed here by its challenge.
+            # Requests of flows that are not held are routed here by a
+            # valid challenge.
             return True
         if not self._coordinator.guard.has_valid_echo(flow, request):
             return False
@@ -170,7 +174,7 @@
         return True
 
     def release(self, flow: bytes, now: float) -> list[messages.Action]:
-        """Stop holding a flow and end its feeds at the server."""
+        """Remove a flow and cancel its feeds at the server."""
         self._flows.pop(flow)
         self._uploads.pop(flow, None)
         actions: list[messages.Action] = []
@@ -188,14 +192,14 @@
     def deliver(
         self, packet: proxy_header.Packet, now: float
     ) -> list[messages.Action]:
-        """Handle a caller's datagram of a flow that is held here."""
+        """Handle a datagram that a caller sent to this holder."""
         try:
             request = self._shared.codec.read_caller(packet.payload)
         except exceptions.MessageError:
             self._shared.counters['unreadable_from_caller'] += 1
             return []
         if isinstance(request, base.AckOrReset):
-            return self._on_control(packet.flow, request)
+            return self._on_ack_or_reset(packet.flow, request)
         key = packet.flow + request.exchange
         verified = self._is_address_verified(packet.flow, request)
         if not verified or key in self._challenged:
@@ -211,7 +215,10 @@
         return self._coordinator.on_request(packet.flow, request, now)
 
     def answers_challenge(self, packet: proxy_header.Packet) -> bool:
-        """Tell whether a datagram says by itself who may run it."""
+        """Return whether a packet is a guarded request with a challenge.
+
+        Such a request runs only at the process that issued the challenge.
+        """
         try:
             request = self._shared.codec.read_caller(packet.payload)
         except exceptions.MessageError:
@@ -222,13 +229,13 @@
             and self._coordinator.guard.has_valid_echo(packet.flow, request)
         )
 
-    def _on_control(
-        self, flow: bytes, control: base.AckOrReset
+    def _on_ack_or_reset(
+        self, flow: bytes, message: base.AckOrReset
     ) -> list[messages.Action]:
-        if not control.reset:
+        if not message.reset:
             return []
         for call, feed in self._feeds.of_flow(flow):
-            if feed.message_id == control.message_id:
+            if feed.message_id == message.message_id:
                 self._shared.counters['feeds_reset'] += 1
                 return self._end_feed(call, feed)
         self._coordinator.cancel(flow)
@@ -260,23 +267,23 @@
         )
         actions = self._start_or_claim(started, now)
         if job is None:
-            # Late: the request was given up. Its number is never used again,
-            # so this answer cannot end at another caller.
+            # Late answer: the request has timed out. Call numbers are not
+            # reused, so this answer can't reach another caller.
             self._shared.counters['late_answers'] += 1
             return actions
         outcome = messages.Outcome.ANSWERED
         if reply.shed:
             self._shared.counters['shed_by_server'] += 1
             outcome = messages.Outcome.NOT_RUN
-        actions += self._finish(job, outcome, reply, now)
+        actions += self._finish_job(job, outcome, reply, now)
         return actions + self._refuse(refused, now)
 
     def _on_notification(
         self, reply: base.ServerReply, feed: feeds.FeedState, now: float
     ) -> list[messages.Action]:
         if reply.observe is None:
-            # The server ended or refused the feed. It is asked again, since
-            # the caller's feed lives as long as the caller wants it.
+            # The server ended or refused the feed. Register it again, since
+            # only the caller may end its feed.
             feed.confirmed = False
             feed.resume_at = now + feeds.RESUME_REPEAT_S
             return []
@@ -292,7 +299,7 @@
         self._shared.counters['notifications'] += 1
         return [messages.ToCaller(feed.flow, datagram)]
 
-    def _finish(
+    def _finish_job(
         self,
         job: executor.Job,
         outcome: messages.Outcome,
@@ -345,7 +352,7 @@
         actions: list[messages.Action] = []
         for job in jobs:
             if isinstance(job.origin, remote.RemoteCall):
-                actions += self._finish(
+                actions += self._finish_job(
                     job, messages.Outcome.NOT_RUN, None, now
                 )
             else:
@@ -355,7 +362,7 @@
     def on_execute(
         self, message: messages.Execute, now: float
     ) -> list[messages.Action]:
-        """Handle a request that another agent hands on."""
+        """Handle a request that another agent forwards."""
         job, answer = self._remote.admit(
             message, self.reports(now, to=message.sender), now
         )
@@ -365,16 +372,16 @@
             return []
         if not self._accepting:
             return self._refuse([job], now)
-        verdict, started, evicted = self._executor.submit(job, now)
+        result, started, evicted = self._executor.submit(job, now)
         actions = self._start_or_claim(started, now)
-        if verdict is executor.SubmitResult.REFUSED:
+        if result is executor.SubmitResult.REFUSED:
             evicted = [job]
         return actions + self._refuse(evicted, now)
 
     def _start_or_claim(
         self, started: list[messages.ToServer], now: float
     ) -> list[messages.Action]:
-        """Give requests to the server, or ask their senders first."""
+        """Start requests, or claim those that need consent."""
         actions: list[messages.Action] = []
         for start in started:
             job = self._executor.running_job(start.call)
@@ -390,7 +397,7 @@
     def on_consent(
         self, message: messages.Consent, now: float
     ) -> list[messages.Action]:
-        """Handle what the sender of a request says to its start."""
+        """Handle the answer to a claim: start the request or drop it."""
         call = remote.RemoteCall(
             message.sender, message.incarnation, message.call
         )
@@ -399,12 +406,12 @@
             return []
         if message.granted:
             return [start]
-        return self._withdraw(start, now)
+        return self._refuse_claimed(start, now)
 
-    def _withdraw(
+    def _refuse_claimed(
         self, start: messages.ToServer, now: float
     ) -> list[messages.Action]:
-        """Drop a request that may not run, and use its slot for another."""
+        """Refuse a request without consent and reuse its slot."""
         job = self._executor.running_job(start.call)
         if job is None:
             return []
@@ -419,29 +426,31 @@
         for call in silent:
             start = self._claims.pop_start(call)
             if start is not None:
-                actions += self._withdraw(start, now)
+                actions += self._refuse_claimed(start, now)
         return actions
 
     def server_lost(self, now: float) -> list[messages.Action]:
-        """Note that the local server is gone, and settle what was there."""
+        """Mark the local server as down and settle its requests."""
         queued, running = self._executor.server_lost()
         self._feeds.server_lost(now)
         actions: list[messages.Action] = []
         for job in queued:
-            actions += self._finish(job, messages.Outcome.NOT_RUN, None, now)
+            actions += self._finish_job(
+                job, messages.Outcome.NOT_RUN, None, now
+            )
         for job in running:
             outcome = messages.Outcome.UNKNOWN
             if isinstance(job.origin, remote.RemoteCall):
-                # What waited for consent was never given to the server.
+                # A request that waits for consent was not sent to the server.
                 if self._claims.pop_start(job.origin) is not None:
                     outcome = messages.Outcome.NOT_RUN
-            actions += self._finish(job, outcome, None, now)
+            actions += self._finish_job(job, outcome, None, now)
         return actions
 
     def resume_feed(
         self, flow: bytes, feed: messages.Feed, now: float
     ) -> list[messages.Action]:
-        """Take over a feed from the flow's former holder."""
+        """Register a feed that the flow's previous holder transferred."""
         request = self._shared.codec.read_caller(feed.request)
         if self._feeds.find(flow, request.token) is not None:
             return []
@@ -461,14 +470,16 @@
         ]
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Time out what hangs and forget what is over."""
-        started, refused, lost = self._executor.tick(now)
+        """Handle timeouts, repeat what is due and expire old state."""
+        started, refused, timed_out = self._executor.tick(now)
         actions = self._start_or_claim(started, now)
         actions += self._refuse(refused, now)
         actions += self._repeat_claims(now)
-        for job in lost:
+        for job in timed_out:
             self._shared.counters['answers_timed_out'] += 1
-            actions += self._finish(job, messages.Outcome.UNKNOWN, None, now)
+            actions += self._finish_job(
+                job, messages.Outcome.UNKNOWN, None, now
+            )
         if self._executor.server_up:
             for call in self._feeds.due_registrations(now):
                 actions += self._register(call, self._feeds.get(call), now)
--- a/packages/teaseldock/teaseldock/owner.py
+++ b/packages/teaseldock/teaseldock/owner.py
@@ -1,4 +1,4 @@
-"""Find or place the flows of owned buckets, and hand their packets on."""
+"""Find or place the flows of owned buckets and forward their packets."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from teaseldock import holder
     from teaseldock import table
 
-#: Times that agents hand one packet on before it is dropped as looping.
+#: Times that agents forward a packet before it is dropped as looping.
 MAX_HOPS = 4
-#: Bytes of a question and its answer.
+#: Bytes of a ``Locate`` message and its answer.
 LOCATE_BYTES = 150
 
 
 class Owner:
-    """Act for the buckets of one service that this agent owns."""
+    """Route the flows of the buckets of one service that this agent owns."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         *,
         now: float,
     ) -> None:
-        """Start owning nothing."""
+        """Create an owner without buckets."""
         self._shared = shared
         self._service = service
         self._holder = held
@@ -42,16 +42,16 @@
 
     @property
     def entries(self) -> int:
-        """Return how many flows of owned buckets others hold."""
+        """Return the number of flows of owned buckets that others hold."""
         return len(self._directory)
 
     @property
     def searching(self) -> int:
-        """Return how many flows are being searched for."""
+        """Return the number of searches in progress."""
         return len(self._directory.searches)
 
     def refresh(self, service: table.ServiceTable, now: float) -> None:
-        """Take over a changed view."""
+        """Apply a changed view."""
         self._service = service
         own = self._shared.name
         owned = {
@@ -67,7 +67,7 @@
     ) -> list[messages.Action]:
         """Send a packet to another agent of the service."""
         if packet.hops >= MAX_HOPS:
-            # Two agents whose views differ would send a packet to and fro.
+            # Agents with different views would forward a packet in a loop.
             self._shared.counters['dropped_hops'] += 1
             return []
         endpoint = self._shared.view.endpoint(name)
@@ -91,8 +91,8 @@
         if owner not in (None, self._shared.name) and not newer:
             return self.forward_packet(packet, owner, _role_to_owner(packet))
         if packet.role == proxy_header.Role.RETURNED:
-            # Without this, an entry for a target that was leaving before it
-            # took the flow sends each packet to and fro until it is dropped.
+            # The entry may name a target that was leaving before it took the
+            # flow. Each packet would loop until the hop limit drops it.
             self._directory.remove_holder(packet.flow)
         known = self._directory.holder_of(packet.flow)
         if known is not None and not self._shared.view.is_dead(known):
@@ -102,8 +102,9 @@
         peers = self._shared.view.peers(self._service)
         to_ask = self._directory.peers_to_ask(bucket, peers, now)
         if to_ask and self._holder.answers_challenge(packet):
-            # Whoever holds the flow would send it there as well. Kept until
-            # silent peers are given up, it would meet its caller's next copy.
+            # The flow's holder would forward the request to its challenger,
+            # too. Waiting here for silent peers would last until the caller
+            # retransmits.
             return self._holder.deliver(packet, now)
         if to_ask:
             return self._search(packet, bucket, to_ask, now)
@@ -125,10 +126,10 @@
     def _send_locate(
         self, flow: bytes, search: directory.Search, now: float
     ) -> list[messages.Action]:
-        """Ask all that have not answered, or later if the budget is spent.
+        """Query the unanswered peers, or wait if the budget is spent.
 
-        In a partition nobody answers for seconds, and every flow of the
-        other side comes up for a search.
+        In a partition peers are silent for seconds, and every flow from the
+        other side needs a search.
         """
         if not self._shared.budget.has_room(now):
             return []
@@ -202,7 +203,7 @@
     def on_announce(
         self, message: messages.Announce, now: float
     ) -> list[messages.Action]:
-        """Learn which flows a peer holds."""
+        """Record the flows that a peer holds."""
         buckets = set(flows.unpack_buckets(message.complete))
         self._directory.confirm(message.sender, buckets, now)
         elsewhere = [
@@ -223,11 +224,11 @@
     def _end_searches(
         self, name: str, buckets: set[int], now: float
     ) -> list[messages.Action]:
-        """Take a peer's word for an answer about the flows searched for.
+        """Use a peer's complete announcement as its answer to searches.
 
-        It has told all that it holds in some buckets. Asked for each flow,
-        while the control budget is spent, it would keep callers waiting for
-        seconds after that.
+        The peer has announced all its flows of these buckets. Separate
+        queries would delay callers for seconds while the control budget is
+        spent.
         """
         actions: list[messages.Action] = []
         for flow, search in list(self._directory.searches.items()):
@@ -242,7 +243,10 @@
         return actions
 
     def _record_holder(self, flow: bytes, name: str, taken_over: bool) -> bool:
-        """Note a holder, unless another living target holds the flow."""
+        """Record a holder unless another live target holds the flow.
+
+        :returns: whether the given instance is now the recorded holder.
+        """
         if flow in self._holder.flows:
             return False
         known = self._directory.holder_of(flow)
@@ -253,7 +257,7 @@
         return True
 
     def record_move(self, flow: bytes, name: str) -> None:
-        """Note where a flow went that was held here."""
+        """Record the new holder of a flow that was held here."""
         bucket = flows.bucket_of(flow, key=self._shared.keys.flow_hash)
         owner = self._shared.view.owner(self._service, bucket)
         if owner == self._shared.name:
@@ -264,7 +268,7 @@
         self._directory.remove_holder(flow)
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Ask silent peers again; place what nobody claims."""
+        """Query silent peers again and place flows that are not found."""
         actions: list[messages.Action] = []
         for flow, search in self._directory.due_searches(now):
             alive = set(self._shared.view.peers(self._service))
@@ -280,7 +284,10 @@
 
 
 def _role_to_owner(packet: proxy_header.Packet) -> proxy_header.Role:
-    """Return whether the owner is asked, or told that its entry is wrong."""
+    """Return the role of a packet that is forwarded to the owner.
+
+    ``RETURNED`` tells the owner that its entry is wrong.
+    """
     if packet.role == proxy_header.Role.OWNER:
         return proxy_header.Role.OWNER
     return proxy_header.Role.RETURNED
--- a/packages/teaseldock/teaseldock/pending.py
+++ b/packages/teaseldock/teaseldock/pending.py
@@ -1,4 +1,4 @@
-"""Describe a request on its way to a final answer."""
+"""Keep the state of a request until its final answer."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 
 
 class Pending:
-    """A request on its way to a final answer.
-
-    :ivar key: of its exchange.
-    :ivar assignee: instance that it was given to.
-    :ivar tried: instances that refused it.
-    :ivar may_have_run: whether a server was given it and didn't answer.
-    :ivar consented: whether the instance that has it may have started it.
+    """A request without a final answer.
+
+    :ivar key: key of its exchange.
+    :ivar deadline: time after which an answer is useless, or infinity.
+    :ivar assignee: name of the instance that should run it.
+    :ivar incarnation: incarnation of the assignee's agent if forwarded.
+    :ivar tried: instances that refused it or failed.
+    :ivar repeat_at: time at which a forwarded request is sent again.
+    :ivar may_have_run: whether a server got it and did not answer.
+    :ivar consented: whether the assignee may have started it.
     """
 
     __slots__ = (
@@ -43,7 +46,7 @@
         weight: float,
         now: float,
     ) -> None:
-        """Begin with nobody running it."""
+        """Create a request that is assigned to no instance."""
         self.key = key
         self.exchange = exchange
         self.request = request
--- a/packages/teaseldock/teaseldock/placement.py
+++ b/packages/teaseldock/teaseldock/placement.py
@@ -1,4 +1,4 @@
-"""Choose the target for a new flow or a request from what is known of load."""
+"""Choose targets for new flows and requests by reported load."""
 
 from __future__ import annotations
 
@@ -9,39 +9,40 @@
 
 from teaseldock import load as loads
 
-#: Peers compared for one choice; bounds the work in large services.
+#: Peers compared for one choice; bounds the cost in large services.
 CANDIDATES = 8
-#: Peers whose reports travel with one message.
+#: Load reports piggybacked on one message.
 REPORTS_PER_MESSAGE = 8
-#: Seconds after which a report says nothing any more. Reports come at least
-#: twice in this time; a peer that misses them may be dead, and a request that
-#: must not run twice would end there as "outcome unknown".
+#: Seconds after which a report is stale. Reports arrive at least twice in this
+#: time. A peer that misses them may be dead, and a guarded request that is
+#: forwarded to it would end as "outcome unknown".
 REPORT_LIFETIME_S = 1.2
-#: Silence after which no request that must not run twice goes to a peer while
-#: it could run here at once. Two peers of a busy service hear each other many
-#: times in it.
+#: Seconds of silence after which a peer gets no guarded request that could run
+#: here at once. Peers of a busy service exchange many messages in this time.
 GUARDED_SILENCE_S = 0.3
-#: Share of this target's own work below which a peer's must be to get a
-#: guarded request that could run here at once.
+#: Share of the local work below which a peer's work must be to get a guarded
+#: request that could run here at once.
 GUARDED_WORK_RATIO = 0.9
-#: Requests for each slot that may wait here before a guarded one: a slot is
-#: free again about as soon as a peer would have its consent.
+#: Queued requests per slot up to which a guarded request waits here: a slot
+#: becomes free about as soon as a peer would get consent.
 GUARDED_QUEUE_PER_SLOT = 0.5
-#: Seconds added to a report's age for its way. More than any way takes: a
-#: report that seemed younger with each relay would go round for ever, and a
-#: dead peer would go on looking idle.
+#: Seconds added to a report's age for each relay, more than any network delay:
+#: a report that seemed younger with each relay would circulate for ever, and a
+#: dead peer would still look idle.
 RELAY_DELAY_S = 0.005
-#: A flow leaves its bucket's owner only for one this much less loaded.
+#: Flows by which a peer must be less loaded than a bucket's owner to get a new
+#: flow.
 FLOW_MARGIN = 2
 
 
 class PeerLoad:
-    """What is known of one peer's target.
+    """Last reported load of one peer's target.
 
-    :ivar last_seen_at: when the peer itself was last heard.
-    :ivar measured_at: when the load was measured, by the reports' ages.
-    :ivar report_sent_at: when this agent last sent it reports.
-    :ivar sent: times and weights of requests handed to it since then.
+    :ivar last_seen_at: time of the last message from the peer itself.
+    :ivar measured_at: time of the load's measurement, by the report's age.
+    :ivar report_sent_at: time of the last report sent to the peer.
+    :ivar sent: times and weights of requests sent to the peer that the load
+        does not include yet.
     """
 
     __slots__ = (
@@ -54,7 +55,10 @@
     )
 
     def __init__(self, number: int) -> None:
-        """Know nothing yet."""
+        """Create an entry without a report.
+
+        :param number: of the instance.
+        """
         self.number = number
         self.load = loads.Load(0, 0, 1, 0, 0.0, False)
         self.last_seen_at = float('-inf')
@@ -63,7 +67,7 @@
         self.report_sent_at = float('-inf')
 
     def update(self, load: loads.Load, measured_at: float) -> None:
-        """Take a newer load, and forget requests that it includes."""
+        """Store a newer load and drop the sent requests that it includes."""
         self.load = load
         self.measured_at = measured_at
         included = bisect.bisect_right(self.sent, (measured_at, math.inf))
@@ -71,12 +75,11 @@
 
 
 class LoadView:
-    """Remember the newest report of each peer in one service.
+    """Newest load report of each peer of one service.
 
-    Reports travel with every request handed on and every answer to one, and
-    not only the sender's own: the busier a service is, the fresher are its
-    targets' views of each other. What this agent itself has sent since a
-    report was measured is added on top.
+    Reports of several peers are piggybacked on each forwarded request and its
+    answer, so that a busier service has fresher reports. Requests that this
+    agent has sent to a peer since its report was measured are added to it.
     """
 
     def __init__(
@@ -86,10 +89,10 @@
         weights: dict[str, float],
         randomness: random.Random,
     ) -> None:
-        """Start knowing nobody.
+        """Create a view without reports.
 
         :param own: name of this agent's instance.
-        :param weights: paid share of each instance.
+        :param weights: weight of each instance of the service.
         """
         self._own = own
         self._own_number = loads.instance_number(own)
@@ -100,7 +103,7 @@
         self.set_weights(weights)
 
     def set_weights(self, weights: dict[str, float]) -> None:
-        """Take over changed shares and forget instances that left."""
+        """Apply changed weights and drop instances that left."""
         self._weights = weights
         self._peers = {
             name: self._peers.get(name)
@@ -111,9 +114,9 @@
         self._by_number = {peer.number: peer for peer in self._peers.values()}
 
     def on_reports(self, sender: str, packed: bytes, now: float) -> None:
-        """Take the reports that came with a message.
+        """Store the load reports of a message.
 
-        :param sender: the peer that sent them; it is alive.
+        :param sender: name of the peer that sent the message.
         """
         peer = self._peers.get(sender)
         if peer is not None:
@@ -125,9 +128,9 @@
                 known.update(report.load, measured_at)
 
     def pack_reports(self, own: loads.Load, now: float, *, to: str) -> bytes:
-        """Return own and the newest other reports, for a message.
+        """Return the local and the newest other reports for a message.
 
-        :param to: the peer that the message goes to.
+        :param to: name of the peer that receives the message.
         """
         self.mark_reported(to, now)
         parts = [loads.pack_report(self._own_number, 0.0, own)]
@@ -144,13 +147,13 @@
         return b''.join(parts)
 
     def mark_reported(self, name: str, now: float) -> None:
-        """Note that a peer was sent this agent's load."""
+        """Record that a peer was sent this agent's load."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.report_sent_at = now
 
     def peers_to_report(self, now: float, since_s: float) -> list[str]:
-        """Return the peers that have had no report for some seconds."""
+        """Return the peers that were sent no report for some seconds."""
         return [
             name
             for name, peer in self._peers.items()
@@ -158,7 +161,7 @@
         ]
 
     def is_active(self, now: float) -> bool:
-        """Tell whether a peer that was heard lately has work."""
+        """Return whether a peer with a fresh report has work."""
         return any(
             (peer.load.running or peer.load.work)
             and now - peer.measured_at < REPORT_LIFETIME_S
@@ -166,7 +169,7 @@
         )
 
     def record_sent(self, name: str, now: float, *, weight: float) -> None:
-        """Count a request or a flow that was handed to a peer."""
+        """Add a request or flow that was sent to a peer to its load."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.sent.append((now, weight))
@@ -196,16 +199,16 @@
         *,
         guarded: bool,
     ) -> str | None:
-        """Return where a request should run.
+        """Return the instance that should run a request.
 
-        The least number of requests for each slot wins; among equals, the one
-        that did the least of its paid share in the last second, which
-        evens out what chance has made uneven.
+        The target with the shortest queue per slot wins. Ties go to the one
+        with the least work in the last second relative to its weight, which
+        corrects random imbalance.
 
-        :param own: load of this agent's target, None if it can't take any.
-        :param usable: tells whether an instance may get new work.
+        :param own: load of this agent's target, None if it accepts no work.
+        :param usable: returns whether an instance may get new work.
         :param guarded: whether the request must not run twice.
-        :returns: an instance name, or None if nobody is known to take it.
+        :returns: an instance name, or None if no instance is usable.
         """
         best = None
         best_score = None
@@ -222,9 +225,9 @@
         for name, peer in self._sample_candidates(usable, now, silence_s):
             score = self._score(name, peer.load, peer.sent)
             if guarded and own is not None and score[0] > 0:
-                # Full there, too: a slot would stand idle there while the
-                # sender is asked for its consent. At twice the capacity that
-                # took goodput from 0.997 to 0.897 of it.
+                # The peer is full, too: one of its slots would stay idle
+                # while it waits for consent. At twice the capacity that
+                # lowered goodput from 0.997 to 0.897 of the capacity.
                 continue
             if best_score is None or score < best_score:
                 best = name
@@ -234,10 +237,11 @@
     def _choose_unreported(
         self, usable: typing.Callable[[str], bool], now: float
     ) -> str | None:
-        """Return a peer of which nothing is known, for want of a better one.
+        """Return a random usable peer without a fresh report, or None.
 
-        A target that leaves just after a quiet time can't run requests itself
-        and has no reports; refusing them would cost callers a planned change.
+        A target that leaves after an idle time accepts no requests and has no
+        reports. Refusing its requests would make a planned change visible to
+        callers.
         """
         names = [
             name
@@ -253,8 +257,8 @@
         sent: list[tuple[float, float]],
     ) -> tuple[float, float]:
         busy = load.running + load.queued + len(sent)
-        # Below its slots a target has no queue: more requests running there
-        # cost a caller nothing, and the paid share decides alone.
+        # A target with free slots has no queue: a further request there waits
+        # for nothing, and only the work relative to the weight counts.
         waiting = max(0, busy + 1 - load.slots) / load.slots
         work = load.work + sum(weight for _, weight in sent)
         return (waiting, work / self._weights[name])
@@ -265,7 +269,11 @@
         usable: typing.Callable[[str], bool],
         now: float,
     ) -> str:
-        """Return which target should hold a new flow."""
+        """Return the instance that should hold a new flow.
+
+        :param own: load of this agent's target.
+        :param usable: returns whether an instance may get new work.
+        """
         best = self._own
         best_flows = (own.flows - FLOW_MARGIN) / self._weights[self._own]
         if not own.accepting:
--- a/packages/teaseldock/teaseldock/remote.py
+++ b/packages/teaseldock/teaseldock/remote.py
@@ -1,4 +1,4 @@
-"""Run requests that other agents hand on, each of them once."""
+"""Track requests that other agents forward; each runs once."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 if typing.TYPE_CHECKING:
     from teaseldock import context
 
-#: Seconds for which the answer to a hand-on is kept for repeats.
+#: Seconds for which the answer to a forwarded request is kept for repeats.
 ANSWER_LIFETIME_S = exchanges.EXCHANGE_LIFETIME_S
-#: Answers kept at the most; the asker repeats within a second or two.
+#: Limit of answers kept; senders repeat a request within one or two seconds.
 MAX_ANSWERS = 4096
 
 
 class RemoteCall(typing.NamedTuple):
-    """Identity of a request that another agent handed on."""
+    """Identity of a request that another agent forwarded."""
 
     sender: str
     incarnation: int
@@ -26,42 +26,41 @@
 
 
 class RemoteCalls:
-    """Remember what was handed on here, and what became of it."""
+    """Requests forwarded to this agent, and their answers."""
 
     def __init__(self, shared: context.Context, number: int) -> None:
-        """Start with no call.
+        """Create an empty collection.
 
-        :param number: of the service.
+        :param number: number of the service.
         """
         self._shared = shared
         self._number = number
-        self._known: dict[RemoteCall, messages.Executed | None] = {}
-        self._times: dict[RemoteCall, float] = {}
+        self._answers: dict[RemoteCall, messages.Executed | None] = {}
+        self._admitted_at: dict[RemoteCall, float] = {}
         self._open = 0
         self._guarded: set[RemoteCall] = set()
 
     @property
     def open(self) -> int:
-        """Return how many requests await their answer."""
+        """Return the number of requests without an answer."""
         return self._open
 
     def admit(
         self, message: messages.Execute, reports: bytes, now: float
     ) -> tuple[executor.Job | None, messages.Executed | None]:
-        """Look at a request before it is submitted.
+        """Check a forwarded request before it is submitted.
 
-        A repeat never becomes a second job. A request meant for an earlier
-        incarnation is refused as unknown, never as not run: that incarnation
-        may have run it.
+        A repeat is not submitted again. A request for an earlier incarnation
+        is answered "unknown", not "not run": that incarnation may have run it.
 
-        :returns: the job to submit, or the answer to send, or neither while
-            the first of the repeats is still running.
+        :returns: the job to submit, or the answer to send, or neither if the
+            request is a repeat of one without an answer.
         """
         call = RemoteCall(
             message.sender, message.sender_incarnation, message.call
         )
-        if call in self._known:
-            return None, self._known[call]
+        if call in self._answers:
+            return None, self._answers[call]
         members = self._shared.view.own_incarnations()
         if message.receiver_incarnation not in members:
             outcome = messages.Outcome.UNKNOWN
@@ -69,8 +68,8 @@
         deadline = float('inf')
         if message.deadline_ms:
             deadline = now + message.deadline_ms / 1000
-        self._known[call] = None
-        self._times[call] = now
+        self._answers[call] = None
+        self._admitted_at[call] = now
         self._open += 1
         if not message.idempotent:
             self._guarded.add(call)
@@ -85,7 +84,7 @@
         return job, None
 
     def needs_consent(self, call: RemoteCall) -> bool:
-        """Tell whether a request may run only if its sender agrees."""
+        """Return whether a request needs its sender's consent to run."""
         return call in self._guarded
 
     def finish(
@@ -95,33 +94,33 @@
         body: bytes,
         reports: bytes,
     ) -> messages.Executed:
-        """Note what became of a request and return the answer to send."""
+        """Store the outcome of a request and return the answer to send."""
         answer = self._executed(call, outcome, body, reports)
-        if self._known.get(call, answer) is None:
+        if self._answers.get(call, answer) is None:
             self._open -= 1
         self._guarded.discard(call)
-        self._known[call] = answer
+        self._answers[call] = answer
         return answer
 
     def expire(self, now: float) -> None:
-        """Forget answers that nobody can ask for any more.
+        """Remove expired answers, and shrink the oldest beyond the limit.
 
-        While memory is short an answer's text goes before the fact that the
-        request ran.
+        A shrunk answer loses its body and becomes "unknown", but still records
+        that the request may have run.
         """
-        for call in list(self._times):
-            if now - self._times[call] < ANSWER_LIFETIME_S:
+        for call in list(self._admitted_at):
+            if now - self._admitted_at[call] < ANSWER_LIFETIME_S:
                 break
-            del self._times[call]
-            if self._known.pop(call) is None:
+            del self._admitted_at[call]
+            if self._answers.pop(call) is None:
                 self._open -= 1
             self._guarded.discard(call)
-        for call in list(self._known)[
-            : max(0, len(self._known) - MAX_ANSWERS)
+        for call in list(self._answers)[
+            : max(0, len(self._answers) - MAX_ANSWERS)
         ]:
-            answer = self._known[call]
+            answer = self._answers[call]
             if answer is not None and answer.body:
-                self._known[call] = answer._replace(
+                self._answers[call] = answer._replace(
                     outcome=messages.Outcome.UNKNOWN, body=b''
                 )
 
--- a/packages/teaseldock/teaseldock/resends.py
+++ b/packages/teaseldock/teaseldock/resends.py
@@ -1,40 +1,41 @@
-"""Ask callers to send an order again while its challenger may be cut off.
+"""Limit how often callers resend a request during a network partition.
 
-Callers reach both sides of a cut that processes can't cross. Only the process
-that challenged an order may run it; an order that arrives on the other side
-can't be handed there, but its caller can send it again, and each message may
-come out on either side.
+Callers can reach both sides of a partition between processes. Only the process
+that challenged a request may run it. A request that arrives on the other side
+can't be handed over, but its caller can resend it, and each message may arrive
+on either side.
 """
 
 from __future__ import annotations
 
 import collections
 
-#: Messages asked for by one process for one order: 998 of 1,000 orders whose
-#: challenger is behind one balancer of three get there, within 0.2 s.
+#: Limit of resends that one process asks for per request: 998 of 1,000
+#: requests reach a challenger behind one of three balancers, within 0.2 s.
 MAX_RESENDS = 16
-#: Orders remembered, some 150 bytes each; the oldest are forgotten first.
+#: Limit of requests with a count, about 150 bytes each; the oldest are evicted
+#: first.
 MAX_REQUESTS_KEPT = 4096
 
 
 class ResendLimit:
-    """How often the callers of orders were asked to send them again."""
+    """Number of resends asked for, by challenge."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._asked: collections.OrderedDict[bytes, int] = (
+        """Create a limit without counts."""
+        self._counts: collections.OrderedDict[bytes, int] = (
             collections.OrderedDict()
         )
 
     def try_acquire(self, challenge: bytes) -> bool:
-        """Tell whether a caller may be asked once more, and count it.
+        """Count a resend, and return whether it is within the limit.
 
-        :param challenge: value that the order came with.
+        :param challenge: Echo value of the request.
         """
-        count = self._asked.get(challenge, 0)
+        count = self._counts.get(challenge, 0)
         if count == MAX_RESENDS:
             return False
-        self._asked[challenge] = count + 1
-        if len(self._asked) > MAX_REQUESTS_KEPT:
-            self._asked.popitem(last=False)
+        self._counts[challenge] = count + 1
+        if len(self._counts) > MAX_REQUESTS_KEPT:
+            self._counts.popitem(last=False)
         return True
--- a/packages/teaseldock/teaseldock/server_probe.py
+++ b/packages/teaseldock/teaseldock/server_probe.py
@@ -1,19 +1,19 @@
-"""Decide whether a backend server answers at all."""
+"""Detect the failure of a backend server."""
 
 from __future__ import annotations
 
 import enum
 
-#: Seconds between two probes of a silent server: while requests run there or
-#: feeds depend on it, and otherwise.
+#: Seconds between probes of a silent server: while it has requests or feeds,
+#: and while it has none.
 BUSY_INTERVAL_S = 0.5
 IDLE_INTERVAL_S = 2.0
-#: Probes without any sign of life after which the server is lost.
+#: Unanswered probes after which the server counts as down.
 PROBES_UNANSWERED = 3
 
 
 class Step(enum.Enum):
-    """What the edge must do now."""
+    """Action due at the edge."""
 
     NOTHING = 'nothing'
     PROBE = 'probe'
@@ -21,26 +21,27 @@
 
 
 class ServerProbe:
-    """Count probes that nothing answered.
+    """Count unanswered probes.
 
-    The server's own health endpoint is not asked: it may say well while
-    requests fail. Any datagram of the protocol's port is a sign of life.
+    The server's own health endpoint is not used: it may report success while
+    requests fail. Any datagram from the protocol's port shows that the server
+    is alive.
     """
 
     def __init__(self, now: float) -> None:
-        """Start believing that the server is well."""
+        """Create a probe for a server that is assumed to be up."""
         self._last_at = now
         self._unanswered = 0
 
     def mark_alive(self, now: float) -> None:
-        """Note a datagram of the server."""
+        """Record a datagram from the server."""
         self._unanswered = 0
         self._last_at = now
 
     def step(self, now: float, *, busy: bool) -> Step:
-        """Return what is due.
+        """Return the action that is due.
 
-        :param busy: whether anybody waits for this server.
+        :param busy: whether requests or feeds depend on the server.
         """
         interval = BUSY_INTERVAL_S if busy else IDLE_INTERVAL_S
         if now - self._last_at < interval:
--- a/packages/teaseldock/teaseldock/target.py
+++ b/packages/teaseldock/teaseldock/target.py
@@ -1,4 +1,4 @@
-"""Join owner, holder and drain of one service at one instance."""
+"""Combine owner, holder and drain of one service at one instance."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Target:
-    """An instance in its part of serving one service."""
+    """One instance that serves one service."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         slots: int,
         now: float,
     ) -> None:
-        """Start holding and owning nothing.
+        """Create a target without flows.
 
         :param rules: the service's entry in the rules.
         :param slots: requests that the local server runs at once.
@@ -62,17 +62,17 @@
 
     @property
     def holder(self) -> holder.Holder:
-        """Return the part that holds flows."""
+        """Return the holder of flows."""
         return self._holder
 
     @property
     def leaving(self) -> bool:
-        """Tell whether this target gets no new work."""
+        """Return whether this target refuses new work."""
         return self._leaving
 
     @property
     def drained(self) -> bool:
-        """Tell whether nothing would be cut by stopping now."""
+        """Return whether this target can stop without breaking a flow."""
         alone = not self._shared.view.peers(self._service)
         return self._holder.idle and (alone or not self._drain.flows_left)
 
@@ -101,7 +101,7 @@
         slots: int,
         now: float,
     ) -> None:
-        """Take over changed rules or membership."""
+        """Apply changed rules or membership."""
         self._service = service
         self._loads.set_weights(service.weights)
         self._holder.configure(service, rules, slots=slots)
@@ -121,7 +121,7 @@
         self._holder.set_accepting(not leaving)
 
     def withdraw(self) -> None:
-        """Leave because the rules no longer name this target."""
+        """Start leaving because the rules no longer list this target."""
         self._set_leaving(True)
 
     def on_packet(
@@ -189,11 +189,11 @@
         return []
 
     def on_load_report(self, sender: str, reports: bytes, now: float) -> None:
-        """Take a peer's report."""
+        """Store load reports of a peer."""
         self._loads.on_reports(sender, reports, now)
 
     def is_active(self, now: float) -> bool:
-        """Tell whether anything runs here or, as far as known, at a peer."""
+        """Return whether requests run here or, by its reports, at a peer."""
         return (
             not self._holder.idle
             or self._owner.searching > 0
@@ -202,14 +202,14 @@
         )
 
     def peers_to_report(self, now: float, since_s: float) -> list[str]:
-        """Return the living peers that have had no report for some time."""
+        """Return the live peers without a report for some seconds."""
         alive = set(self._shared.view.peers(self._service))
         return [
             n for n in self._loads.peers_to_report(now, since_s) if n in alive
         ]
 
     def mark_reported(self, name: str, now: float) -> None:
-        """Note that a peer was sent a report."""
+        """Record that a report was sent to a peer."""
         self._loads.mark_reported(name, now)
 
     def own_report(self, now: float) -> messages.ServiceLoad:
@@ -263,11 +263,11 @@
         return self._holder.on_server_reply(reply, now)
 
     def server_lost(self, now: float) -> list[messages.Action]:
-        """Note that the local server is gone."""
+        """Mark the local server as down."""
         return self._holder.server_lost(now)
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Do what is due; to be called several times a second."""
+        """Run periodic work; to be called several times a second."""
         actions = self._holder.tick(now)
         actions += self._owner.tick(now)
         actions += self._announcer.tick(now)
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -1,4 +1,4 @@
-"""Test how often callers are asked to send an order again."""
+"""Test the limit of resends."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_a_caller_is_asked_a_bounded_number_of_times() -> None:
-    """Guards against callers that are sent round for as long as a cut."""
+    """Without the limit, callers would resend throughout a partition."""
     asked = resends.ResendLimit()
     taken = [asked.try_acquire(b'a') for _ in range(resends.MAX_RESENDS + 3)]
     assert taken.count(True) == resends.MAX_RESENDS
@@ -15,8 +15,8 @@
 
 
 def test_orders_remembered_are_bounded() -> None:
-    """The oldest are forgotten when a cut hits more orders than are kept."""
+    """The oldest counts are evicted beyond the limit."""
     asked = resends.ResendLimit()
     for number in range(resends.MAX_REQUESTS_KEPT + 1):
         assert asked.try_acquire(number.to_bytes(4, 'big'))
-    assert len(asked._asked) == resends.MAX_REQUESTS_KEPT
+    assert len(asked._counts) == resends.MAX_REQUESTS_KEPT
