--- a/tests/promises.py
+++ b/tests/promises.py
@@ -1,4 +1,4 @@
-"""Check the promises of the brief on a run in virtual time."""
+"""Check the safety invariants of a run in virtual time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def untrue_refusals(run: world.World) -> list[str]:
-    """Return requests that were called not run, and ran."""
+    """Return requests that ran although their answer was "not run"."""
     ran = {item.identity for item in run.ran}
     return [
         item.identity
@@ -26,7 +26,7 @@
 
 
 def misrouted(run: world.World) -> list[str]:
-    """Return requests that ran at another service than their own."""
+    """Return requests that ran at a server of another service."""
     return [
         item.identity
         for item in run.ran
@@ -35,12 +35,12 @@
 
 
 def crossed(run: world.World) -> list[str]:
-    """Return requests whose caller got another's answer."""
+    """Return requests whose caller got the answer to another request."""
     return [item.identity for item in run.asked if item.outcome == 'crossed']
 
 
 def assert_safe(run: world.World) -> None:
-    """Assert what must hold in every history."""
+    """Assert the invariants that every run must keep."""
     assert ran_twice(run) == []
     assert untrue_refusals(run) == []
     assert misrouted(run) == []
@@ -48,7 +48,7 @@
 
 
 def outcomes(run: world.World) -> collections.Counter[str]:
-    """Return counts of outcomes, feeds' registrations left out."""
+    """Return the count of each outcome, without registrations of feeds."""
     return collections.Counter(
         item.outcome for item in run.asked if item.kind != 'feed'
     )
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Test that flows stay with their holders through changes."""
+"""Test that flows keep their holders during changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def feeds_on(run: world.World, count: int) -> list[fakes.FakeCaller]:
-    """Begin feeds and let them settle."""
+    """Register feeds and wait until they are confirmed."""
     callers = [run.add_caller('dispatch') for _ in range(count)]
     for caller in callers:
         caller.observe()
@@ -24,20 +24,20 @@
 
 
 def orders_on(run: world.World, callers: list[fakes.FakeCaller]) -> None:
-    """Let each caller order once and wait for the answers."""
+    """Send one order from each caller and wait for the answers."""
     for caller in callers:
         caller.ask('POST', 'orders')
     run.run_until(run.now + 1.0)
 
 
 def leave_by_rules(run: world.World, *names: str) -> None:
-    """Publish which instances are leaving."""
+    """Publish rules that list leaving instances."""
     run.rules['leaving'] = list(names)
     run.publish('rules', run.rules)
 
 
 def test_every_flow_has_one_holder(small: world.World) -> None:
-    """One flow's packets through any balancer meet at one target."""
+    """A flow's packets reach one target through any balancer."""
     callers = feeds_on(small, 60)
     for _ in range(3):
         orders_on(small, callers)
@@ -46,12 +46,11 @@
 
 
 def test_buckets_move_twice_in_a_row(small: world.World) -> None:
-    """Feeds survive two moves of their buckets, one right after the other.
+    """Feeds survive two moves of their buckets in quick succession.
 
-    Symptom: a truck-status feed goes silent after two quick changes of the
-    rules. Sequence: instance 1 leaves, and before its buckets' new owners
-    have heard of all flows, instance 2 leaves too. Cause to guard against: an
-    owner that places a flow it has never heard of, though a target holds it.
+    Instance 1 leaves, and instance 2 leaves before the new owners of the
+    buckets have got all announcements. An owner that places an unknown flow
+    again although a target holds it would silence the flow's feeds.
     """
     callers = feeds_on(small, 80)
     before = {c.flow: small.holders(c) for c in callers}
@@ -75,7 +74,7 @@
 
 
 def test_feeds_outlive_ten_changes(small: world.World) -> None:
-    """An hours-long feed survives any sequence of planned changes."""
+    """A long-lived feed survives a sequence of planned changes."""
     callers = feeds_on(small, 40)
     for step in range(10):
         leave_by_rules(small, f'dispatch-{step % 4 + 1}')
@@ -90,11 +89,10 @@
 ) -> None:
     """Flows held elsewhere survive the death of their buckets' owner.
 
-    Symptom: callers whose target is well lose their affinity when another
-    target dies. Sequence: a bucket's owner placed a flow at a peer and is
-    killed; the flow's next packet reaches the new owner, which knows nothing
-    of it. Cause to guard against: placing it anew; the new owner must learn
-    it from its holder.
+    A bucket's owner placed a flow at a peer and is killed. The flow's next
+    packet reaches the new owner, which has no entry for it. If the new owner
+    placed the flow again instead of searching for its holder, the caller would
+    lose its affinity to a healthy target.
     """
     small.run_until(3.0)
     callers = feeds_on(small, 120)
@@ -125,7 +123,7 @@
 def test_any_signal_ends_new_work_within_three_seconds(
     small: world.World, way: str
 ) -> None:
-    """A leaving target gets no new work by any one of three signals."""
+    """Each of three signals stops new work of a leaving target."""
     name = 'dispatch-1'
     if way == 'rules':
         leave_by_rules(small, name)
@@ -148,7 +146,7 @@
 
 
 def test_leaving_works_while_the_platform_is_down(small: world.World) -> None:
-    """SIGTERM drains a target though the configuration can't be read."""
+    """SIGTERM drains a target while the configuration can't be read."""
     callers = feeds_on(small, 40)
     small.set_platform(False)
     small.run_until(small.now + 1.0)
@@ -163,7 +161,7 @@
 
 
 def test_a_new_target_takes_no_flow_from_another() -> None:
-    """A target that joins gets buckets, but held flows stay."""
+    """A joining target gets buckets, but held flows stay."""
     run = world.World(conftest.SMALL, seed=3, balancers=2)
     run.run_until(2.0)
     callers = feeds_on(run, 60)
@@ -188,12 +186,12 @@
 def test_idle_flows_are_announced_after_their_owners_death(
     small: world.World,
 ) -> None:
-    """A flow that was silent through a change keeps its holder.
+    """A flow that is idle during a change keeps its holder.
 
-    Symptom: a caller that comes back after half a minute finds another
-    target. Sequence: the bucket's owner dies while the flow is idle; its next
-    packet comes when nobody searches any more. Cause to guard against: the
-    new owner learning only of flows that send packets.
+    The bucket's owner dies while the flow is idle. The flow's next packet
+    arrives half a minute later, when the new owner no longer searches. If
+    owners recorded only flows that send packets, the caller would reach
+    another target.
     """
     callers = feeds_on(small, 120)
     before = {c.flow: small.holders(c) for c in callers}
@@ -212,11 +210,11 @@
 
 
 def test_feeds_leave_a_dead_server(small: world.World) -> None:
-    """Feeds go on at another target when their server dies alone.
+    """Feeds move to another target when only their server dies.
 
-    Symptom: dispatchers send trucks blind, by a feed that is silent while its
-    agent is well. Sequence: the backend server dies, its agent lives. Cause:
-    the feed stayed at its holder, waiting for the server to come back.
+    The backend server dies while its agent is alive. A feed that waits at its
+    holder for the server would be silent, and its caller would act on stale
+    state.
     """
     callers = feeds_on(small, 60)
     held = [c for c in callers if small.holders(c) == ['dispatch-1']]
@@ -228,7 +226,7 @@
     orders_on(small, callers)
     assert promises.outcomes(small) == {'answer': 60}
     assert all(len(small.holders(caller)) == 1 for caller in callers)
-    # The owners must name the new holders, should the old one die as well.
+    # The owners must have the new holders if the old one dies as well.
     now_held = {c.flow: small.holders(c) for c in held}
     small.kill('dispatch-1')
     small.run_until(small.now + 30.0)
@@ -237,7 +235,7 @@
 
 
 def test_a_target_drains_while_a_balancer_joins(small: world.World) -> None:
-    """A new balancer and a drain at the same moment cut nothing."""
+    """A simultaneous start of a balancer and a drain break no flow."""
     callers = feeds_on(small, 40)
     small.start_balancer('balancer-3')
     leave_by_rules(small, 'dispatch-2')
@@ -249,7 +247,7 @@
 
 
 def test_a_drain_is_taken_back(small: world.World) -> None:
-    """A drain that is taken back half-way leaves everything working."""
+    """A drain that is reverted half-way breaks no flow."""
     callers = feeds_on(small, 60)
     leave_by_rules(small, 'dispatch-1')
     small.run_until(small.now + 0.1)
@@ -265,7 +263,7 @@
 def test_target_missing_from_the_peer_list_keeps_serving(
     small: world.World,
 ) -> None:
-    """A living target that the list forgot goes on working."""
+    """A live target that the peer list lacks keeps serving."""
     callers = feeds_on(small, 40)
     del small.listed['dispatch-1']
     for _ in range(30):
@@ -278,10 +276,10 @@
 
 
 def test_an_upload_stays_until_its_last_part(small: world.World) -> None:
-    """A transfer in parts ends at the server where it began.
+    """An upload in blocks ends at the server where it began.
 
-    Symptom guarded against: half of a scan at each of two servers. Sequence:
-    a target leaves while callers are sending parts to it.
+    A target leaves while callers upload to it. A flow that moved during the
+    upload would leave half of it at each of two servers.
     """
     callers = [small.add_caller('dispatch') for _ in range(30)]
     for caller in callers:
@@ -310,7 +308,10 @@
 
 
 def test_what_peers_announce_ends_a_search(small: world.World) -> None:
-    """Guards against callers kept waiting for what peers have told."""
+    """A search ends when all peers have announced the bucket's flows.
+
+    Otherwise callers would wait for answers that the announcements contain.
+    """
     caller = small.add_caller('dispatch')
     bucket = flow.bucket_of(caller.flow, key=world.KEYS.flow_hash)
     current = small.processes['dispatch-1'].node.view
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Test that each caller gets the answer to its own request, or none."""
+"""Test that callers get no answers to other requests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 def test_an_answer_that_comes_too_late_reaches_nobody(
     small: world.World,
 ) -> None:
-    """An answer after its request was given up is dropped.
+    """An answer to a request that has timed out is dropped.
 
-    Symptom guarded against: the answer to an old order is taken for that of
-    the next. Sequence: the server answers after more than 20 s; meanwhile the
-    caller was told "outcome unknown" and has ordered again.
+    The server answers after more than 20 s. In the meantime the caller got
+    "outcome unknown" and sent the next order, which must not get the late
+    answer.
     """
     caller = small.add_caller('dispatch')
     caller.ask('POST', 'orders')
@@ -38,15 +38,15 @@
 
 
 def _running_calls(run: world.World, service: str) -> range:
-    """Return every call number that could have been used so far."""
+    """Return all call numbers that may be in use."""
     return range(1, 400) if service == 'dispatch' else range(0)
 
 
 def test_a_used_token_gets_the_newer_answer(small: world.World) -> None:
-    """A caller that reuses a token gets the answer to its newer message.
+    """Each answer carries the identifier of its own message.
 
-    Symptom guarded against: crossed answers. Sequence: two messages with one
-    token are under way at once; they end in the other order.
+    Several messages with one token are open at once and can be answered in
+    another order. Matching by token alone would cross their answers.
     """
     caller = small.add_caller('tickets')
     caller.ask('PUT', 'scans')
@@ -83,7 +83,7 @@
 
 
 def test_a_reset_drops_what_waits(small: world.World) -> None:
-    """A caller that rejects a datagram has its waiting requests dropped."""
+    """A reset from a caller drops its queued requests."""
     for server in small.servers.values():
         server._service_s = 3.0
     callers = [small.add_caller('tickets') for _ in range(14)]
@@ -102,7 +102,7 @@
 
 
 def _queued(run: world.World) -> int:
-    """Return how many requests wait in the agents of the tickets service."""
+    """Return the number of queued requests of the tickets service."""
     return sum(
         target.holder.load(run.now).queued
         for process in run.processes.values()
@@ -112,11 +112,11 @@
 
 
 def test_only_the_runner_may_answer(small: world.World) -> None:
-    """An answer of an agent that was not asked is dropped.
+    """An answer from an agent other than the assignee is dropped.
 
-    Symptom guarded against: a caller gets the answer of an earlier attempt.
-    Sequence: a request was refused by one peer and handed on to another; then
-    a late answer of the first arrives under a number that is in use.
+    One peer refused a request, which was then forwarded to another. A late
+    answer of the first peer under a call number in use must not reach the
+    caller.
     """
     for server in small.servers.values():
         server._service_s = 5.0
@@ -142,15 +142,14 @@
 def test_a_late_copy_of_a_challenged_message_runs_nothing(
     small: world.World,
 ) -> None:
-    """A scan's first part is taken for the beginning of a later scan.
-
-    Symptom: a caller is answered for an earlier scan, and the server runs
-    that scan once more, with the later one's parts.
-    Events: the first message of a flow is challenged, and a copy of it stays
-    in the network for a second; the caller proves its address, its scan is
-    done and the next one begins; then the copy arrives.
-    Cause: the flow had proved its address by then, and the copy's exchange was
-    not known, for a challenge is no answer that is kept.
+    """A delayed copy of a challenged message is not run.
+
+    The first message of a flow is challenged, and the network delays a copy of
+    it by a second. The caller's address is verified, its scan is answered and
+    the next scan begins; then the copy arrives. Challenges are not stored as
+    answers, so that the copy's exchange is unknown. If the copy ran, the
+    server would run the first scan again with parts of the second, and the
+    caller would get the answer for the first.
     """
     caller = small.add_caller('tickets')
     received: list[fake_codec.Answer] = []
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Test that guarded requests run at most once, and refusals are true."""
+"""Test that guarded requests run at most once and refusals are true."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def one_order(run: world.World) -> tuple[fakes.FakeCaller, str]:
-    """Return a caller that has a holder, and that holder."""
+    """Return a caller whose flow has a holder, and that holder."""
     caller = run.add_caller('dispatch')
     caller.ask('POST', 'orders')
     run.run_until(run.now + 1.0)
@@ -22,7 +22,7 @@
 
 
 def test_duplicated_packets_run_once(small: world.World) -> None:
-    """Every packet doubled and some lost: no order runs twice."""
+    """No order runs twice with duplicated and lost packets."""
     small.duplicate = 1.0
     small.loss = 0.05
     callers = [small.add_caller('dispatch') for _ in range(50)]
@@ -36,12 +36,11 @@
 
 
 def test_holder_dies_after_the_order_ran(small: world.World) -> None:
-    """A repeat whose holder died is told "outcome unknown", and never runs.
+    """A retransmission after its holder's death is not run.
 
-    Symptom: a second truck whose load sets in the drum. Sequence: the order
-    runs, its holder is killed before the answer is out, the caller repeats
-    the message and the repeat reaches another target. Cause to guard against:
-    a target that can't know of the first run takes the repeat for new.
+    The order runs, and its holder is killed before it sends the answer. The
+    caller's retransmission reaches another target, which has no record of the
+    first run and must answer "outcome unknown" instead of running it again.
     """
     caller, holder = one_order(small)
     small.service_s = 5.0
@@ -61,11 +60,11 @@
 def test_holder_is_replaced_before_the_order_is_sent_on(
     small: world.World,
 ) -> None:
-    """A challenge of a dead incarnation is never honoured by the next one.
+    """A challenge of an earlier incarnation is not accepted.
 
-    Symptom: as above. Sequence: the caller has a challenge; the agent is
-    killed and started again under its name; the order arrives there. Cause to
-    guard against: the new process knows nothing of what the old one ran.
+    The caller has a challenge, and the agent is killed and restarted under its
+    name before the order arrives. The new process has no record of what the
+    old one ran, so that the order could run twice.
     """
     caller, holder = one_order(small)
     small.kill(holder)
@@ -86,7 +85,7 @@
 
 
 def _challenge_of(node: world.agent.Agent, caller: fakes.FakeCaller) -> bytes:
-    """Return a challenge as a (dead) agent would have issued it."""
+    """Return a challenge that an agent issues, which may be dead by now."""
     coordinator = node.find('dispatch').holder.coordinator
     request = fake_codec.FakeCodec().read_caller(
         fake_codec.msgspec.msgpack.encode(
@@ -100,7 +99,7 @@
 
 
 def test_runner_of_a_handed_on_order_dies(small: world.World) -> None:
-    """A hand-on whose runner dies ends as "outcome unknown"."""
+    """A forwarded order whose assignee dies ends as "outcome unknown"."""
     for server in small.servers.values():
         server._service_s = 4.0
     callers = [small.add_caller('dispatch') for _ in range(8)]
@@ -124,12 +123,11 @@
 def test_paused_holder_wakes_with_an_old_view(
     small: world.World, seconds: float
 ) -> None:
-    """An agent that was frozen runs nothing twice when it wakes.
+    """An agent that resumes after a pause runs no order twice.
 
-    Symptom: a doubled order long after a pause. Sequence: the holder freezes
-    with an order in its socket, the others declare it dead and the caller's
-    repeats go elsewhere; then it wakes and reads its socket. Cause to guard
-    against: both sides taking the order for theirs.
+    The holder is paused with an order in its socket. The others declare it
+    dead, and the caller's retransmissions go elsewhere. When the holder
+    resumes and reads its socket, both sides could run the order.
     """
     callers = [small.add_caller('dispatch') for _ in range(30)]
     for caller in callers:
@@ -144,7 +142,7 @@
 
 
 def test_overload_is_refused_at_once_and_truly(small: world.World) -> None:
-    """At twice the capacity, refusals are immediate and nothing is lost."""
+    """At twice the capacity, refusals are immediate and none is lost."""
     callers = [small.add_caller('dispatch') for _ in range(1600)]
     for _ in range(4):
         for caller in callers:
@@ -162,7 +160,7 @@
 def test_server_that_vanishes_leaves_the_outcome_unknown(
     small: world.World,
 ) -> None:
-    """Orders that a dead server had begun are not called "not run"."""
+    """Orders that a dead server had started are not refused as "not run"."""
     for server in small.servers.values():
         server._service_s = 3.0
     callers = [small.add_caller('dispatch') for _ in range(8)]
@@ -177,7 +175,7 @@
 
 
 def test_repeated_forward_gets_the_stored_answer(small: world.World) -> None:
-    """A repeated hand-on gets the first one's answer, and runs once."""
+    """A repeated ``Execute`` gets the first one's answer and runs once."""
     run = small
     node = run.processes['dispatch-2'].node
     target = node.find('dispatch')
@@ -209,13 +207,12 @@
 def test_forwarded_request_without_consent_never_runs(
     small: world.World,
 ) -> None:
-    """A request runs at a target that its sender has given up.
+    """A forwarded order does not run without its sender's consent.
 
-    Symptom: an order that was refused as "not run" runs after all, or one that
-    was given to another target runs at both.
-    Events: an order is handed on; its sender forgets it (restarted, or gave it
-    to another target) before the receiver has a free slot.
-    Cause to guard against: starting what was handed on without asking.
+    An order is forwarded, and its sender restarts or assigns it to another
+    target before the receiver has a free slot. If the receiver started it
+    without consent, an order that was refused as "not run" would run, or an
+    order would run at both targets.
     """
     run = small
     node = run.processes['dispatch-2'].node
@@ -242,12 +239,11 @@
 
 
 def test_one_challenge_lets_one_message_run(small: world.World) -> None:
-    """A second message under a used challenge is neither run nor refused.
+    """A second message with a used challenge has an unknown outcome.
 
-    Symptom: an order that a caller's application sent again runs twice.
-    Sequence: an order runs under a challenge; the application sends it anew,
-    as another message with the same challenge. Cause to guard against: only
-    comparing message identifiers.
+    An order runs with a challenge. The caller's application sends it again as
+    another message with the same challenge. Comparing only message identifiers
+    would run it twice.
     """
     caller, holder = one_order(small)
     state = {
@@ -272,11 +268,11 @@
 
 
 def test_a_lost_answer_is_given_again(small: world.World) -> None:
-    """A repeat whose answer was lost gets that answer.
+    """A retransmission after a lost answer gets that answer.
 
-    Symptom: "outcome unknown" though nothing failed but one packet. Sequence:
-    the order runs, its answer is lost, the caller repeats the message. Cause
-    to guard against: remembering that it ran, but not the answer.
+    The order runs, its answer is lost, and the caller retransmits the message.
+    If only the run were recorded and not the answer, one lost packet would end
+    in "outcome unknown".
     """
     caller, _ = one_order(small)
     receive = caller.receive
@@ -299,12 +295,12 @@
 
 
 def test_evicted_request_is_refused_at_once(small: world.World) -> None:
-    """A handed-on request that a heavier one pushes out is answered at once.
+    """A forwarded request that a heavier one evicts is refused at once.
 
-    Symptom: callers wait 20 s for "outcome unknown" under overload, though
-    nothing ran. Sequence: a status request waits at a peer that it was handed
-    on to; orders arrive there and push it out of the queue. Cause: the peer
-    looked for it among its own callers' requests only, and told nobody.
+    A forwarded status request is queued at a peer, and arriving orders evict
+    it. If the peer searched only its own callers' requests for it, its sender
+    would get no answer: callers would wait 20 s for "outcome unknown" under
+    overload, though nothing ran.
     """
     callers = [small.add_caller('dispatch') for _ in range(500)]
     for caller in callers:
@@ -327,17 +323,16 @@
 def test_an_order_reaches_its_challenger_after_a_cut(
     small: world.World,
 ) -> None:
-    """Orders end as "outcome unknown" by the hundred, though none ran.
-
-    Symptom: 80 to 235 orders a cut of six seconds, and as many again in the
-    second after its end.
-    Events: a target challenges an order and is cut off; the order arrives at
-    another target, which takes the first for dead.
-    Cause: it answered at once, though the one that may run the order was
-    alive: back from the cut, or there for the caller's next copy. Evidence:
-    in virtual time, seeds 1 to 3, 518, 408, 318 and 1,016, 776, 581 weighted
-    requests before; 18, 2, 6 and 22, 22, 21 with copies handed over, and the
-    answer given after the caller's next copy.
+    """An order is handed over to a challenger that is considered dead.
+
+    A target challenges an order and is partitioned. The order arrives at
+    another target, which considers the first one dead. An immediate answer
+    would be "outcome unknown" although the challenger is alive: it rejoins, or
+    the caller's retransmission reaches it. That happened to 80 to 235 orders
+    per partition of 6 s, and to as many in the second after it. With the
+    handover and an answer after the caller's next retransmission, 518, 408,
+    318 weighted requests during a partition (seeds 1 to 3) became 18, 2, 6,
+    and 1,016, 776, 581 after it became 22, 22, 21.
     """
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
@@ -364,7 +359,7 @@
 
 
 def _order(echo: bytes, *, message: int = 7) -> bytes:
-    """Return a caller's order as it comes with a challenge."""
+    """Return a caller's order that answers a challenge."""
     return fake_codec.msgspec.msgpack.encode(
         [0, message, b'x', 'POST', 'orders', echo, None, None, 'x']
     )
@@ -382,7 +377,10 @@
 def test_an_order_does_not_wait_for_its_flow_to_be_found(
     small: world.World,
 ) -> None:
-    """Guards against an order that is kept until its caller's next copy."""
+    """An order with a valid challenge is handed over without a search.
+
+    A search could hold it until the caller retransmits.
+    """
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
     node = small.processes[_other_than(small, holder)].node
@@ -403,7 +401,7 @@
 def test_resent_orders_reach_their_challenger_across_a_partition(
     small: world.World,
 ) -> None:
-    """Guards against orders that wait for what only their callers reach."""
+    """Callers reach a challenger that its peers can't reach."""
     small.part(['dispatch-1', 'dispatch-2', 'balancer-1'])
     small.run_until(small.now + 8.0)
     callers = [small.add_caller('dispatch') for _ in range(40)]
@@ -415,7 +413,7 @@
 
 
 def test_resends_during_a_partition_are_bounded(small: world.World) -> None:
-    """Guards against a caller that is never told the outcome is unknown."""
+    """After the last resend the caller gets "outcome unknown"."""
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
     small.part([holder, 'tickets-5', 'tickets-6'])
@@ -439,7 +437,7 @@
 def test_order_handed_over_before_a_partition_is_noticed_is_resent(
     small: world.World,
 ) -> None:
-    """Guards against orders lost to a cut that was not noticed yet."""
+    """A handover that a partition has swallowed leads to a resend."""
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
     node = small.processes[_other_than(small, holder)].node
@@ -459,7 +457,7 @@
 
 
 def _unknown(actions: list[messages.Action]) -> bool:
-    """Tell whether a caller is told that the outcome is unknown."""
+    """Return whether an action answers "outcome unknown"."""
     return any(
         fake_codec.Answer(
             *fake_codec.msgspec.msgpack.decode(item.payload)
--- a/tests/test_consents.py
+++ b/tests/test_consents.py
@@ -1,4 +1,4 @@
-"""Test which orders of an instance that died count as excused."""
+"""Test which orders the death of an instance excuses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _given(at: float, *, granted: bool = True) -> consents.ConsentLog:
-    """Return the log of one order handed on, and answered when it claims."""
+    """Return the log of a forwarded order and the answer to its claim."""
     log = consents.ConsentLog()
     handed_on = messages.Execute(
         'dispatch-1', 3, 9, 77, 78, 2.0, False, 0, BODY, b''
@@ -24,13 +24,13 @@
 
 
 def test_a_consent_that_is_on_its_way_to_a_dying_instance_is_excused() -> None:
-    """An order ends as "outcome unknown" though it never ran.
+    """A consent in flight excuses an order with an unknown outcome.
 
-    Symptom: one order of some thousand after crashes, where none should.
-    Events: an instance claims an order that was handed on to it; its sender
-    consents; the instance dies while the consent is on its way.
-    Cause: none that could be mended: whoever consented can't take it back, and
-    can't know whether it arrived.
+    An instance claims a forwarded order, its sender consents, and the instance
+    dies while the consent is in flight. The order ends as "outcome unknown"
+    though it never ran, about once in a thousand orders after crashes. This
+    can't be avoided: the sender can't withdraw its consent, nor find out
+    whether it arrived.
     """
     log = _given(10.0)
     assert log.on_the_way('dispatch-2', 10.001, hop_s=HOP_S) == {'o-7'}
@@ -38,13 +38,13 @@
 
 
 def test_a_consent_that_has_arrived_excuses_nothing() -> None:
-    """Whoever has leave starts at once, which shows as a run."""
+    """An instance starts at once when a consent arrives, so that it ran."""
     log = _given(10.0)
     assert not log.on_the_way('dispatch-2', 10.002, hop_s=HOP_S)
 
 
 def test_a_consent_that_is_not_given_yet_excuses_nothing() -> None:
-    """An order is its sender's until it has consented."""
+    """The sender can still reassign an order it has not consented to."""
     log = _given(10.0)
     assert not log.on_the_way('dispatch-2', 9.999, hop_s=HOP_S)
     refused = _given(10.0, granted=False)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -1,4 +1,4 @@
-"""Test how long orders handed to their challenger are remembered."""
+"""Test how long handed over requests are kept."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def _order(at: float) -> handovers.Handover:
-    """Return an order; nothing here looks at the request."""
+    """Return a handover; its request is not used."""
     return handovers.Handover(b'flow', None, 3, 77, at)
 
 
 def test_an_order_is_due_once_after_its_first_copy() -> None:
-    """A further copy doesn't put the answer off, and it comes once."""
+    """A further copy doesn't delay the answer, which is due once."""
     orders = handovers.Handovers()
     orders.add(b'a', _order(10.0))
     orders.add(b'a', _order(12.0))
@@ -21,7 +21,7 @@
 
 
 def test_orders_remembered_are_bounded() -> None:
-    """The oldest go first when a cut hits more orders than are kept."""
+    """The oldest handovers are evicted beyond the limit."""
     orders = handovers.Handovers()
     for number in range(handovers.MAX_HANDOVERS + 5):
         orders.add(number.to_bytes(4, 'big'), _order(float(number)))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Test where a request is run, by what is known of load."""
+"""Test the choice of a target for a request by load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def view(peer: load.Load) -> placement.LoadView:
-    """Return a view of one peer, heard just now."""
+    """Return a view with a fresh report of one peer."""
     loads = placement.LoadView(
         own='a', weights={'a': 1.0, 'b': 1.0}, randomness=random.Random(1)
     )
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize('guarded', [False, True])
 def test_a_free_slot_elsewhere_is_used(guarded: bool) -> None:
-    """What would wait here runs at a peer that has a slot."""
+    """A request that would wait here goes to a peer with a free slot."""
     chosen = view(IDLE).choose_for_request(
         FULL, lambda _: True, 10.01, guarded=guarded
     )
@@ -36,12 +36,12 @@
 
 
 def test_orders_are_not_handed_on_between_full_targets() -> None:
-    """At twice the capacity a tenth of the slots stand idle.
+    """Orders stay at a full target if the peer is full, too.
 
-    Symptom: goodput 0.897 of the capacity, and 25 KB/s of control.
-    Events: all slots are taken; orders are handed on to whoever has one less
-    in its queue, and each waits there, with a slot, for its sender's consent.
-    Cause: an order that waits there gains nothing over one that waits here.
+    An order that waits at a full peer gains nothing, and occupies a slot there
+    while it waits for consent. At twice the capacity a tenth of the slots
+    would be idle: goodput was 0.897 of the capacity, with 25 KB/s of control
+    traffic.
     """
     loads = view(LESS_FULL)
     assert (
@@ -55,7 +55,7 @@
 
 
 def test_leaving_target_forwards_to_a_full_peer() -> None:
-    """A target that leaves gives its orders to a full peer, too."""
+    """A leaving target forwards its orders even to a full peer."""
     chosen = view(LESS_FULL).choose_for_request(
         None, lambda _: True, 10.01, guarded=True
     )
@@ -63,7 +63,7 @@
 
 
 def test_an_order_waits_here_where_a_slot_is_free_as_soon() -> None:
-    """Guards against control traffic that orders with short waits cost."""
+    """A short wait here saves the control traffic of a consent."""
     short = load.Load(4, 1, 4, 0, 2.0, True)
     loads = view(IDLE._replace(work=2.0))
     assert (
@@ -77,7 +77,7 @@
 
 
 def _orders(run: world.World, per_s: float, seconds: float) -> None:
-    """Let callers order at random moments for some seconds."""
+    """Send orders at random times for some seconds."""
     callers = [run.add_caller(run.shape.services[0][0]) for _ in range(100)]
     end = run.now + seconds
     while run.now < end:
@@ -86,7 +86,7 @@
 
 
 def test_orders_at_high_load_ask_for_few_consents() -> None:
-    """Guards against a question to a sender for every other order."""
+    """At high load less than a quarter of the orders is forwarded."""
     run = world.World(shapes.SHAPES['zilina'], seed=7)
     run.run_until(6.0)
     _orders(run, 980.0, 3.0)
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -1,4 +1,4 @@
-"""Test that configuration reaches every process, with few reads."""
+"""Test that configuration reaches all processes with few reads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def generations(run: world.World) -> set[int]:
-    """Return the revisions in force at living processes."""
+    """Return the revisions in force at live processes."""
     return {
         process.node.config.generation
         for process in run.processes.values()
@@ -17,7 +17,7 @@
 
 
 def test_in_force_everywhere_within_four_seconds(small: world.World) -> None:
-    """Each of ten changes is in force at every process in 4 s."""
+    """Each of ten changes is in force at all processes within 4 s."""
     for step in range(10):
         small.rules['leaving'] = [f'dispatch-{step % 3 + 1}']
         revision = small.publish('rules', small.rules)
@@ -29,7 +29,7 @@
 
 
 def test_reads_do_not_grow_with_the_processes() -> None:
-    """Twice the targets make no more reads for each change."""
+    """Three times the targets cause no more reads per change."""
     reads = []
     for count in (4, 12):
         shape = shapes.Shape(
@@ -48,12 +48,11 @@
 def test_a_replacement_takes_the_newest_though_the_platform_is_stale(
     small: world.World,
 ) -> None:
-    """A new process doesn't bring back rules that its peers replaced.
+    """A new process does not restore rules that its peers have replaced.
 
-    Symptom: a drained target gets new work again. Sequence: rules change,
-    then the configuration service answers with what stood before, and a
-    balancer is replaced. Cause to guard against: the newcomer serving what
-    the service told it.
+    Rules change, the configuration service returns the old ones, and a new
+    balancer starts. If it served the old rules, a drained target would get new
+    work.
     """
     stale = dict(small.documents)
     small.rules['leaving'] = ['dispatch-1']
@@ -74,7 +73,7 @@
 def test_newcomer_without_platform_learns_from_peers(
     small: world.World,
 ) -> None:
-    """With the service down for long, a greeted peer is enough."""
+    """While the service is down, one configured peer is enough."""
     small.set_platform(False)
     small.run_until(small.now + 600.0)
     small.start_balancer('balancer-9')
@@ -90,7 +89,7 @@
 def test_two_readers_of_diverged_replicas_agree_in_the_end(
     small: world.World,
 ) -> None:
-    """Different contents of one revision are settled by the peers."""
+    """Peers agree on one of different contents of a revision."""
     held = small.documents['rules']
     other = held.content.replace(b'"weight": 2.0', b'"weight": 3.0')
     for number, name in enumerate(list(small.processes)):
@@ -106,7 +105,7 @@
 
 
 def test_cold_start_of_the_whole_fleet(small: world.World) -> None:
-    """Every process killed and started at once: all serve again."""
+    """All processes serve again after a simultaneous restart."""
     for name in list(small.processes):
         small.kill(name)
     small.run_until(small.now + 1.0)
@@ -123,11 +122,10 @@
 
 
 def test_a_fetch_brings_only_what_is_lacking(small: world.World) -> None:
-    """A change of the rules doesn't carry the register along.
+    """A fetch after a change of the rules omits the unchanged register.
 
-    Symptom: control traffic above the budget when rules change often.
-    Sequence: each process that hears of a revision fetches from a peer.
-    Cause: the peer sent all documents, changed or not.
+    Each process fetches a new revision from a peer. If the peer sent all
+    documents, frequent changes would exceed the budget of control traffic.
     """
     node = small.processes['balancer-1'].node
     peer = small.processes['dispatch-1'].node
