--- a/packages/teaseldock/teaseldock/coordinator.py
+++ b/packages/teaseldock/teaseldock/coordinator.py
@@ -397,7 +397,7 @@
         return self._shared.codec.refusal(request, reason, retry_after_s=after)
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Repeat forwarded requests and handle the death of assignees."""
+        """Repeat forwarded requests, and retry or refuse failed ones."""
         actions: list[messages.Action] = []
         for call, pending in list(self._pending.items()):
             if pending.assignee != self._shared.name:
--- a/packages/teaseldock/teaseldock/guard.py
+++ b/packages/teaseldock/teaseldock/guard.py
@@ -1,9 +1,9 @@
 """Let a request that is not idempotent run at most once.
 
-Three rules ensure this. A request runs only with a challenge that the current
-incarnation of the running process issued. A challenge admits one message. A
-process that can't determine whether a request ran answers "outcome unknown":
-it neither runs the request nor answers "not run".
+Three rules ensure this. A process accepts a request only with a challenge that
+its current incarnation issued. A challenge admits one message. A process that
+can't determine whether a request ran answers "outcome unknown": it neither
+runs the request nor answers "not run".
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
     def evaluate(
         self, flow: bytes, key: bytes, request: base.Request, now: float
     ) -> Decision:
-        """Decide on a guarded request of an unknown exchange.
+        """Decide on a guarded request whose exchange is new.
 
         :param key: key of the exchange.
         """
@@ -214,11 +214,11 @@
     def _may_ask_resend(
         self, request: base.Request, holder: int, now: float
     ) -> bool:
-        """Return whether the caller may reach a challenger that is dead here.
+        """Return whether the caller should resend a request, and count that.
 
-        The request is then resent instead of handed over: with both, it could
-        run from the handover while its caller waits for the answer to the
-        resent message.
+        The caller may reach a challenger that this process considers dead. The
+        request is then not handed over as well: it could run from the handover
+        while its caller waits for the answer to the resent message.
         """
         name = self._instance_by_number(holder)
         return (
--- a/packages/teaseldock/teaseldock/owner.py
+++ b/packages/teaseldock/teaseldock/owner.py
@@ -126,7 +126,7 @@
     def _send_locate(
         self, flow: bytes, search: directory.Search, now: float
     ) -> list[messages.Action]:
-        """Query the unanswered peers, or wait if the budget is spent.
+        """Query the peers that have not answered, if the budget has room.
 
         In a partition peers are silent for seconds, and every flow from the
         other side needs a search.
@@ -286,7 +286,7 @@
 def _role_to_owner(packet: proxy_header.Packet) -> proxy_header.Role:
     """Return the role of a packet that is forwarded to the owner.
 
-    ``RETURNED`` tells the owner that its entry is wrong.
+    ``RETURNED`` marks the owner's entry as wrong.
     """
     if packet.role == proxy_header.Role.OWNER:
         return proxy_header.Role.OWNER
--- a/packages/teaseldock/teaseldock/placement.py
+++ b/packages/teaseldock/teaseldock/placement.py
@@ -57,7 +57,7 @@
     def __init__(self, number: int) -> None:
         """Create an entry without a report.
 
-        :param number: of the instance.
+        :param number: number of the instance.
         """
         self.number = number
         self.load = loads.Load(0, 0, 1, 0, 0.0, False)
--- a/packages/teaseldock/teaseldock/remote.py
+++ b/packages/teaseldock/teaseldock/remote.py
@@ -61,8 +61,8 @@
         )
         if call in self._answers:
             return None, self._answers[call]
-        members = self._shared.view.own_incarnations()
-        if message.receiver_incarnation not in members:
+        incarnations = self._shared.view.own_incarnations()
+        if message.receiver_incarnation not in incarnations:
             outcome = messages.Outcome.UNKNOWN
             return None, self._executed(call, outcome, b'', reports)
         deadline = float('inf')
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -15,7 +15,7 @@
 
 
 def feeds_on(run: world.World, count: int) -> list[fakes.FakeCaller]:
-    """Register feeds and wait until they are confirmed."""
+    """Register feeds and wait for their confirmation."""
     callers = [run.add_caller('dispatch') for _ in range(count)]
     for caller in callers:
         caller.observe()
@@ -119,15 +119,15 @@
     promises.assert_safe(small)
 
 
-@pytest.mark.parametrize('way', ['rules', 'list', 'word'])
+@pytest.mark.parametrize('signal', ['rules', 'list', 'sigterm'])
 def test_any_signal_ends_new_work_within_three_seconds(
-    small: world.World, way: str
+    small: world.World, signal: str
 ) -> None:
     """Each of three signals stops new work of a leaving target."""
     name = 'dispatch-1'
-    if way == 'rules':
+    if signal == 'rules':
         leave_by_rules(small, name)
-    elif way == 'list':
+    elif signal == 'list':
         small.list_leaving(name)
     else:
         small.leave(name)
@@ -235,7 +235,7 @@
 
 
 def test_a_target_drains_while_a_balancer_joins(small: world.World) -> None:
-    """A simultaneous start of a balancer and a drain break no flow."""
+    """A balancer that starts during a drain breaks no flow."""
     callers = feeds_on(small, 40)
     small.start_balancer('balancer-3')
     leave_by_rules(small, 'dispatch-2')
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -85,7 +85,7 @@
 
 
 def _challenge_of(node: world.agent.Agent, caller: fakes.FakeCaller) -> bytes:
-    """Return a challenge that an agent issues, which may be dead by now."""
+    """Return a challenge of an agent, which may be dead by now."""
     coordinator = node.find('dispatch').holder.coordinator
     request = fake_codec.FakeCodec().read_caller(
         fake_codec.msgspec.msgpack.encode(
@@ -142,7 +142,7 @@
 
 
 def test_overload_is_refused_at_once_and_truly(small: world.World) -> None:
-    """At twice the capacity, refusals are immediate and none is lost."""
+    """At twice the capacity, refusals are immediate and no request is lost."""
     callers = [small.add_caller('dispatch') for _ in range(1600)]
     for _ in range(4):
         for caller in callers:
@@ -437,7 +437,7 @@
 def test_order_handed_over_before_a_partition_is_noticed_is_resent(
     small: world.World,
 ) -> None:
-    """A handover that a partition has swallowed leads to a resend."""
+    """A handover that is lost in a partition leads to a resend."""
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
     node = small.processes[_other_than(small, holder)].node
--- a/tests/test_consents.py
+++ b/tests/test_consents.py
@@ -38,7 +38,7 @@
 
 
 def test_a_consent_that_has_arrived_excuses_nothing() -> None:
-    """An instance starts at once when a consent arrives, so that it ran."""
+    """An order whose consent has arrived starts at once, so that it ran."""
     log = _given(10.0)
     assert not log.on_the_way('dispatch-2', 10.002, hop_s=HOP_S)
 
