--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -1,30 +1,30 @@
-"""Test how long orders handed to their challenger are remembered."""
+"""Test how long handed-over requests are kept."""
 
 from __future__ import annotations
 
 from teaseldock import handovers
 
 
-def _order(at: float) -> handovers.Handover:
-    """Return an order; nothing here looks at the request."""
+def _handover(at: float) -> handovers.Handover:
+    """Return a handover; its request is not used."""
     return handovers.Handover(b'flow', None, 3, 77, at)
 
 
 def test_an_order_is_due_once_after_its_first_copy() -> None:
-    """A further copy doesn't put the answer off, and it comes once."""
-    orders = handovers.Handovers()
-    orders.add(b'a', _order(10.0))
-    orders.add(b'a', _order(12.0))
-    assert not orders.pop_due(10.0 + handovers.ANSWER_WAIT_S)
-    assert orders.pop_due(10.1 + handovers.ANSWER_WAIT_S) == [_order(10.0)]
-    assert not orders.pop_due(20.0)
+    """A further copy doesn't delay the answer, which is due once."""
+    kept = handovers.Handovers()
+    kept.add(b'a', _handover(10.0))
+    kept.add(b'a', _handover(12.0))
+    assert not kept.pop_due(10.0 + handovers.ANSWER_WAIT_S)
+    assert kept.pop_due(10.1 + handovers.ANSWER_WAIT_S) == [_handover(10.0)]
+    assert not kept.pop_due(20.0)
 
 
 def test_orders_remembered_are_bounded() -> None:
-    """The oldest go first when a cut hits more orders than are kept."""
-    orders = handovers.Handovers()
+    """The oldest handovers are evicted beyond the limit."""
+    kept = handovers.Handovers()
     for number in range(handovers.MAX_HANDOVERS + 5):
-        orders.add(number.to_bytes(4, 'big'), _order(float(number)))
-    due = orders.pop_due(1e9)
+        kept.add(number.to_bytes(4, 'big'), _handover(float(number)))
+    due = kept.pop_due(1e9)
     assert len(due) == handovers.MAX_HANDOVERS
     assert due[0].handed_over_at == 5.0
