--- a/packages/teaseldock/teaseldock/membership.py
+++ b/packages/teaseldock/teaseldock/membership.py
@@ -1,8 +1,9 @@
-"""Tell which processes of a region are alive, leaving or dead.
+"""Detect which processes of a region are alive, leaving or dead.
 
-The protocol is SWIM (Das, Gupta, Motivala, DSN 2002) with two ideas of
-Lifeguard (Dadgar, Phillips, Currey, 2017): an observer that was itself paused
-suspects nobody, and a suspect hears of the suspicion and can deny it.
+The protocol is SWIM (Das, Gupta, Motivala, DSN 2002) with two extensions of
+Lifeguard (Dadgar, Phillips, Currey, 2017): a member that was itself paused
+suspects no other member, and a suspected member is sent the suspicion, so
+that it can refute it.
 """
 
 from __future__ import annotations
@@ -18,37 +19,38 @@
 
 #: Seconds between two probes by one member.
 PROBE_INTERVAL_S = 0.5
-#: Seconds without an answer until others are asked to probe.
+#: Seconds without an answer after which other members are asked to probe.
 PROBE_TIMEOUT_S = 0.2
-#: Members asked to probe for another.
+#: Members that are asked to probe a member that does not answer.
 INDIRECT_PROBES = 2
-#: Probes made for others that may await their answer at once.
+#: Maximum number of pending probes on behalf of other members.
 MAX_RELAYED_PROBES = 40
-#: Chance that a dead member is probed when its turn comes.
+#: Probability that a dead member is probed in its turn.
 DEAD_PROBE_PROBABILITY = 0.25
-#: Dead members probed at each tick once one of them was heard again.
+#: Dead members probed per tick after one of them was heard from again.
 RECOVERY_PROBES_PER_TICK = 2
-#: A gap between ticks beyond this is a pause of this process.
+#: Seconds between two ticks above which this process counts as paused.
 PAUSE_THRESHOLD_S = 1.0
 
 
 class Heartbeat(typing.NamedTuple):
-    """What the owner of the membership adds to each heartbeat."""
+    """Digest of the configuration that each heartbeat carries."""
 
     generation: int
     checksum: int
 
 
 class Membership:
-    """Probe members in turn, and pass on what the roster has to tell."""
+    """Probe members in turn and send them the rumours of the roster."""
 
     def __init__(
         self, *, own: messages.Member, randomness: random.Random, now: float
     ) -> None:
-        """Start knowing only oneself.
+        """Create a membership of this process only.
 
-        :param own: this process as others shall know it.
-        :param now: seconds on a clock that never goes back.
+        :param own: entry of this process, as sent to other members.
+        :param randomness: source of the probe order and of other choices.
+        :param now: monotonic time in seconds.
         """
         self._roster = roster.Roster(own)
         self._random = randomness
@@ -59,8 +61,9 @@
         self._relayed: dict[int, tuple[int, messages.Member]] = {}
         self._next_probe_at = now
         self._last_tick = now
-        # Knowing nobody is no proof of being alone: a newcomer that has not
-        # read the list yet would serve rules its peers have replaced.
+        # An empty roster does not prove that there are no peers: a process
+        # that has not read the list yet would serve rules that its peers
+        # have replaced.
         self._assume_synchronised_at = now + 2 * PROBE_INTERVAL_S
         self._synchronised = False
         self._pauses = 0
@@ -69,32 +72,36 @@
 
     @property
     def roster(self) -> roster.Roster:
-        """Return what is believed of each member."""
+        """Return the state of all members."""
         return self._roster
 
     @property
     def own(self) -> messages.Member:
-        """Return this process as others shall know it."""
+        """Return the entry of this process."""
         return self._roster.own
 
     @property
     def pauses(self) -> int:
-        """Return how often this process found that it had been paused."""
+        """Return the number of detected pauses of this process."""
         return self._pauses
 
     @property
     def synchronised(self) -> bool:
-        """Tell whether the view was refreshed since start or last pause."""
+        """Return whether a peer has answered since the start or last pause.
+
+        This is also true if no peer has answered in time.
+        """
         return self._synchronised
 
     def tick(self, now: float, heartbeat: Heartbeat) -> list[messages.ToPeer]:
-        """Probe and time out; to be called several times a second."""
+        """Send and expire probes; must be called several times a second."""
         gap = now - self._last_tick
         self._last_tick = now
         if gap > PAUSE_THRESHOLD_S:
             self._on_pause(now)
         if not self._synchronised and now > self._assume_synchronised_at:
-            # Nobody answered: alone after a cut, the old view is the best.
+            # No peer has answered: for a process that is partitioned off,
+            # the old view is the best one available.
             self._synchronised = True
         actions = self._expire_probe(now, heartbeat)
         actions += self._send_recovery_probes(heartbeat)
@@ -124,11 +131,12 @@
         return []
 
     def _queue_recovery_probes(self, name: str, now: float) -> None:
-        """Probe all dead members soon if one of them is heard.
+        """Queue probes to all dead members if one of them is heard from.
 
-        It was behind a cut, and others were with it. Probed in their turn
-        only, some count as dead for seconds after the cut, in which what they
-        alone may run ends as "outcome unknown".
+        After a partition heals, other members of the same side are back as
+        well. If they were probed only in their turn, some would count as dead
+        for seconds, in which requests that only they may run would end as
+        "outcome unknown".
         """
         member = self._roster.get(name)
         if member is None or member.health != messages.Health.DEAD:
@@ -152,13 +160,13 @@
         ]
 
     def _ping_disputed(self, heartbeat: Heartbeat) -> list[messages.ToPeer]:
-        """Let members deny that they are dead before their time is up."""
+        """Ping members reported dead, so that they can refute it in time."""
         members = map(self._roster.get, sorted(self._roster.drain_disputed()))
         return [self._ping(0, member, heartbeat) for member in members]
 
     def _on_pause(self, now: float) -> None:
-        # A paused process finds all answers missing at once. Without this
-        # guard it would declare the whole region dead on waking, which shows
+        # After a pause, all answers seem to be missing. Without this guard
+        # the resumed process would declare the whole region dead, which shows
         # as a burst of suspicions from one member.
         self._pauses += 1
         self._synchronised = False
@@ -194,7 +202,7 @@
     def ping_address(
         self, address: flow.Endpoint, heartbeat: Heartbeat
     ) -> messages.ToPeer:
-        """Return a heartbeat to a process whose name is not known."""
+        """Return a heartbeat to a process whose name is not known yet."""
         ping = messages.Ping(
             0,
             self._roster.own,
@@ -218,8 +226,8 @@
     def _should_probe(self, member: messages.Member) -> bool:
         if member.health != messages.Health.DEAD:
             return True
-        # A dead member is still probed now and then, so that two halves of a
-        # region find each other again after a partition.
+        # Dead members are still probed occasionally, so that both sides of a
+        # partition find each other after it has healed.
         return self._random.random() < DEAD_PROBE_PROBABILITY
 
     def _expire_probe(
@@ -237,21 +245,24 @@
         self._indirect_probe_sent = True
         request = messages.PingRequest(sequence, self._roster.own, name)
         return [
-            messages.ToPeer(helper.host, helper.port, request)
-            for helper in self._pick_relays(name)
+            messages.ToPeer(relay.host, relay.port, request)
+            for relay in self._pick_relays(name)
         ]
 
     def push(
         self, heartbeat: Heartbeat, *, fanout: int
     ) -> list[messages.ToPeer]:
-        """Return heartbeats to a few members, ahead of their turn."""
-        able = self._roster.alive()
-        chosen = self._random.sample(able, min(fanout, len(able)))
+        """Return heartbeats to random members, outside the probe order.
+
+        :param fanout: number of members.
+        """
+        alive = self._roster.alive()
+        chosen = self._random.sample(alive, min(fanout, len(alive)))
         return [self._ping(0, member, heartbeat) for member in chosen]
 
     def _pick_relays(self, subject: str) -> list[messages.Member]:
-        able = [m for m in self._roster.alive() if m.name != subject]
-        return self._random.sample(able, min(INDIRECT_PROBES, len(able)))
+        alive = [m for m in self._roster.alive() if m.name != subject]
+        return self._random.sample(alive, min(INDIRECT_PROBES, len(alive)))
 
     def _on_ping(
         self, ping: messages.Ping, now: float, heartbeat: Heartbeat
@@ -277,9 +288,9 @@
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is None:
             return []
-        sequence, asker = relayed
+        sequence, requester = relayed
         vouch = messages.Vouch(sequence, self._roster.own, ack.sender.name)
-        return [messages.ToPeer(asker.host, asker.port, vouch)]
+        return [messages.ToPeer(requester.host, requester.port, vouch)]
 
     def _on_request(
         self, request: messages.PingRequest, heartbeat: Heartbeat
--- a/packages/teaseldock/teaseldock/node.py
+++ b/packages/teaseldock/teaseldock/node.py
@@ -1,4 +1,4 @@
-"""Decide what balancers and agents share: configuration and membership."""
+"""Implement configuration and membership, which all processes share."""
 
 from __future__ import annotations
 
@@ -17,36 +17,37 @@
 from teaseldock import roster
 from teaseldock import view
 
-#: Processes of each data centre that watch the configuration service.
+#: Processes per data centre that watch the configuration service.
 READERS_PER_DATA_CENTRE = 2
-#: Members told at once of a new revision; the rest hear it from them.
+#: Members to which a new revision is pushed; heartbeats spread it further.
 PUSH_FANOUT = 3
-#: Seconds between two fetches from peers.
+#: Minimum seconds between two fetches of documents from peers.
 FETCH_INTERVAL_S = 0.2
-#: Seconds between two clean-ups of members that no list names.
+#: Seconds between two removals of dead members that are in no list.
 PRUNE_INTERVAL_S = 10.0
-#: Seconds between two ticks while nothing but heartbeats is due; they keep
-#: time to a quarter of a second.
+#: Seconds between two ticks while only heartbeats are due; their timing is
+#: accurate to a quarter of a second.
 IDLE_TICK_S = 0.25
 _READER_KEY = b'teaseldock-read1'
 
 
 class Node(abc.ABC):
-    """Hold configuration, membership and the view made of both.
+    """Hold configuration, membership and the view that combines them.
 
-    Few processes read the configuration service. All others hear of a new
-    revision in heartbeats, and fetch the documents from the peer that told
-    them; so the service's reads grow with the data centres, not the fleet.
+    A few processes per data centre read the configuration service. All
+    others receive the digest of a new revision in a heartbeat and fetch the
+    documents from its sender. The number of reads therefore grows with the
+    number of data centres, not with the number of processes.
     """
 
     def __init__(
         self, *, own: messages.Member, randomness: random.Random, now: float
     ) -> None:
-        """Start with nothing in force.
+        """Create a node without any documents.
 
-        :param own: this process as others shall know it.
-        :param randomness: source of all chance in the decisions.
-        :param now: seconds on a clock that never goes back.
+        :param own: entry of this process, as sent to other members.
+        :param randomness: source of all random choices.
+        :param now: monotonic time in seconds.
         """
         self._trail = audit.AuditTrail()
         self._config = configuration.Configuration(trail=self._trail)
@@ -83,23 +84,25 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether packets can be served by a view worth using.
+        """Return whether this process may serve packets.
 
         A process that has just started or was paused may hold rules that
-        its peers have already replaced. It serves only when it has heard a
-        peer and holds what that peer holds; without this a replacement that
-        reads a stale service would bring a drained target back.
+        its peers have already replaced. It becomes ready once a peer has
+        answered (or none has in time) and it holds the highest revision that
+        peers have reported. Otherwise a replacement that reads a stale
+        configuration service would send new flows to a drained target.
         """
         return self._config.ready and self._caught_up
 
     @property
     def is_reader(self) -> bool:
-        """Tell whether this process should watch the configuration service.
+        """Return whether this process should watch the configuration service.
 
-        The readers of a data centre are the living members first in rank, so
-        a dead reader is replaced as soon as its death is known. A process
-        without any configuration whose peers have none either reads too:
-        otherwise a fleet that starts cold would wait for itself.
+        The readers of a data centre are the first members in rank that are
+        neither dead nor leaving, so that a dead reader is replaced as soon as
+        its failure is detected. Members not heard from yet are not counted,
+        so that every process reads after a cold start of the whole fleet.
+        Otherwise all processes would wait for each other.
         """
         own = self._members.own
         names = [
@@ -120,10 +123,10 @@
 
     @abc.abstractmethod
     def on_view_changed(self, now: float) -> list[messages.Action]:
-        """Take over a changed view."""
+        """Handle a change of the view."""
 
     def heartbeat(self) -> membership.Heartbeat:
-        """Return what this process adds to its heartbeats."""
+        """Return the configuration digest for heartbeats."""
         digest = self._config.digest
         return membership.Heartbeat(digest.generation, digest.checksum)
 
@@ -134,23 +137,23 @@
         *,
         wall_s: float,
     ) -> list[messages.Action]:
-        """Take documents read from the service or fetched from a peer.
+        """Process documents read from the service or fetched from a peer.
 
-        :param wall_s: seconds since 1970, for the audit trail.
+        :param wall_s: wall-clock seconds since 1970, for the audit trail.
         """
         before = self._config.digest
-        known = self._config.inventory.instances
+        previous = self._config.inventory.instances
         self._config.offer(documents, wall_s)
         if self._config.digest == before:
             return []
-        self._seed_from_register(known, now)
+        self._seed_from_register(previous, now)
         actions: list[messages.Action] = list(
             self._members.push(self.heartbeat(), fanout=PUSH_FANOUT)
         )
         return actions + self._refresh(now)
 
     def _seed_from_register(
-        self, known: dict[str, inventory.Instance], now: float
+        self, previous: dict[str, inventory.Instance], now: float
     ) -> None:
         instances = self._config.inventory.instances
         self._members.roster.seed(
@@ -164,7 +167,7 @@
                     0,
                 )
                 for name, instance in instances.items()
-                if known.get(name) is not instance
+                if previous.get(name) is not instance
             ],
             now,
         )
@@ -172,7 +175,7 @@
     def live_list(
         self, listed: list[roster.ListedInstance], now: float
     ) -> list[messages.Action]:
-        """Take the platform's list of live and leaving instances."""
+        """Process the platform's list of live and leaving instances."""
         self._listed_names = {item.name for item in listed}
         self._members.roster.seed(listed, now)
         return self._refresh(now)
@@ -180,7 +183,10 @@
     def on_message(
         self, message: typing.NamedTuple, now: float
     ) -> list[messages.Action]:
-        """Handle a message about membership; others are for subclasses."""
+        """Handle a membership message.
+
+        Other kinds are left to subclasses and give no action here.
+        """
         if not isinstance(
             message,
             (
@@ -215,7 +221,7 @@
         ]
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Do what is due; to be called several times a second."""
+        """Run periodic work; must be called several times a second."""
         actions: list[messages.Action] = list(
             self._members.tick(now, self.heartbeat())
         )
@@ -240,7 +246,7 @@
     def ping_addresses(
         self, addresses: typing.Iterable[flow.Endpoint], now: float
     ) -> list[messages.Action]:
-        """Greet processes of which only the address is known."""
+        """Send heartbeats to processes of which only the address is known."""
         return [
             self._members.ping_address(address, self.heartbeat())
             for address in addresses
@@ -254,7 +260,7 @@
     def audit_membership_changes(self, wall_s: float) -> None:
         """Write changes of membership to the audit trail.
 
-        :param wall_s: seconds since 1970.
+        :param wall_s: wall-clock seconds since 1970.
         """
         for member in self._members.roster.drain_changes():
             outcome = messages.Health(member.health).name.lower()
@@ -272,7 +278,7 @@
             )
 
     def leave(self, now: float) -> list[messages.Action]:
-        """Tell the others that this process is about to stop."""
+        """Announce to other members that this process is about to stop."""
         self._members.roster.leave()
         actions: list[messages.Action] = list(
             self._members.push(self.heartbeat(), fanout=2 * PUSH_FANOUT)
@@ -287,17 +293,17 @@
 def documents_from_message(
     stored: typing.Iterable[messages.StoredDocument],
 ) -> list[configuration.Document]:
-    """Return documents received from a peer as configuration documents."""
+    """Convert documents received from a peer to configuration documents."""
     return [configuration.Document(*item) for item in stored]
 
 
 def explain(
     current: view.View, flow_key: bytes, *, hash_key: bytes
 ) -> dict[str, typing.Any]:
-    """Tell which target a new flow would get first, and why.
+    """Explain which target a new flow would get.
 
-    :returns: service, bucket, ranked instances with the reason for each one
-        that is passed over, and the revision that the answer holds for.
+    :returns: revision in force, service, bucket, owner of the bucket, and
+        the service's instances in rank order, each with its state.
     """
     service = current.table.service_at(flow.packed_service_endpoint(flow_key))
     if service is None:
@@ -305,14 +311,14 @@
     bucket = flow.bucket_of(flow_key, key=hash_key)
     ranked = []
     for name in service.rank(bucket):
-        reason = 'usable'
+        state = 'usable'
         if current.is_dead(name):
-            reason = 'dead'
+            state = 'dead'
         elif name in current.inventory.leaving:
-            reason = 'leaving by the rules'
+            state = 'leaving by the rules'
         elif name in current.excluded:
-            reason = 'leaving by its own word or the live list'
-        ranked.append({'instance': name, 'state': reason})
+            state = 'leaving by its own word or the live list'
+        ranked.append({'instance': name, 'state': state})
     return {
         'revision': current.generation,
         'service': service.name,
--- a/packages/teaseldock/teaseldock/roster.py
+++ b/packages/teaseldock/teaseldock/roster.py
@@ -1,4 +1,4 @@
-"""Keep what is believed of the processes of a region, and its rumours."""
+"""Store the state of each process of a region, and rumours to spread."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 from teaseldock import messages
 
-#: Seconds a suspect has for denying.
+#: Seconds in which a suspected member can refute the suspicion.
 SUSPICION_TIMEOUT_S = 1.5
-#: Rumours in one message, which bounds its size.
+#: Maximum number of rumours per message; this bounds its size.
 MAX_RUMOURS_PER_MESSAGE = 6
-#: Unusual members told to one that joins.
+#: Maximum number of leaving or dead members reported to a joining member.
 MAX_JOIN_RUMOURS = 40
-#: Each rumour is sent this often times the logarithm of the members.
+#: Each rumour is sent this factor times the binary logarithm of the number of
+#: members.
 RUMOUR_RETRANSMIT_FACTOR = 3
-#: Seconds for which a dead member is remembered, beyond any lagging list.
+#: Seconds for which a dead member is kept; longer than any list lags behind.
 DEAD_RETENTION_S = 120.0
 
 ROLE_AGENT = 'agent'
@@ -23,7 +24,7 @@
 
 
 class ListedInstance(typing.NamedTuple):
-    """An entry of the platform's lagging list, or of the register.
+    """An entry of the platform's list, which lags, or of the register.
 
     :ivar leaving_since: milliseconds since 1970, or 0 if not leaving.
     """
@@ -37,7 +38,7 @@
 
 
 class _Entry:
-    """Hold one member, when its state changed, and when it last spoke."""
+    """A member with the times of its last change and of its last message."""
 
     __slots__ = ('member', 'changed_at', 'heard_at')
 
@@ -57,12 +58,12 @@
 
 
 class Roster:
-    """Hold each member's newest state, by whoever brought it."""
+    """Hold the newest state of each member, from any source."""
 
     def __init__(self, own: messages.Member) -> None:
-        """Start knowing only oneself.
+        """Create a roster of this process only.
 
-        :param own: this process as others shall know it.
+        :param own: entry of this process, as sent to other members.
         """
         self._own = own
         self._own_incarnations = {own.incarnation}
@@ -78,7 +79,7 @@
 
     @property
     def own(self) -> messages.Member:
-        """Return this process as others shall know it."""
+        """Return the entry of this process."""
         return self._own
 
     @property
@@ -88,15 +89,15 @@
 
     @property
     def version(self) -> int:
-        """Return a number that rises when routing could be affected."""
+        """Return a number that rises with each change relevant to routing."""
         return self._version
 
     def members(self) -> list[messages.Member]:
-        """Return all members known but oneself."""
+        """Return all members except this process."""
         return [entry.member for entry in self._entries.values()]
 
     def get(self, name: str) -> messages.Member | None:
-        """Return a member by name, oneself included."""
+        """Return a member by name, which may be this process, or None."""
         if name == self._own.name:
             return self._own
         entry = self._entries.get(name)
@@ -104,7 +105,7 @@
 
     @property
     def dead(self) -> set[str]:
-        """Return the names of members believed dead."""
+        """Return the names of dead members."""
         return {
             name
             for name, entry in self._entries.items()
@@ -113,7 +114,7 @@
 
     @property
     def leaving(self) -> set[str]:
-        """Return the names of members that are leaving, oneself included."""
+        """Return the names of leaving members, including this process."""
         names = {
             name
             for name, entry in self._entries.items()
@@ -124,7 +125,7 @@
         return names
 
     def alive(self) -> list[messages.Member]:
-        """Return the members that nobody suspects."""
+        """Return the members that are neither suspected nor dead."""
         return [
             entry.member
             for entry in self._entries.values()
@@ -138,7 +139,7 @@
         return changes
 
     def leave(self) -> None:
-        """Tell the others that this process is leaving."""
+        """Mark this process as leaving and queue a rumour of that."""
         if self._own.leaving:
             return
         self._own = self._own._replace(
@@ -150,11 +151,11 @@
     def seed(
         self, listed: typing.Iterable[ListedInstance], now: float
     ) -> None:
-        """Take instances from the register or the platform's list.
+        """Add instances of the register or the platform's list.
 
-        The list lags and may name the dead or miss the living. It can add
-        names and mark them leaving; it can neither revive nor remove anyone
-        whom the probes have judged.
+        The list lags: it may contain dead members and lack living ones. It
+        adds members and marks them as leaving, but it neither revives nor
+        removes members whose state was determined by probes.
         """
         for item in listed:
             if item.name == self._own.name:
@@ -171,14 +172,17 @@
                     host=item.host, port=item.port
                 )
             # A process that started after the entry was made is a new one
-            # under an old name; the lagging entry doesn't speak of it.
+            # under the same name; the lagging entry does not apply to it.
             if item.leaving_since > entry.member.incarnation:
                 self._update_entry(
                     entry, entry.member._replace(leaving=True), now
                 )
 
     def prune_dead(self, names: typing.Container[str], now: float) -> None:
-        """Forget dead members that no list names any more."""
+        """Remove dead members that are no longer in any list.
+
+        :param names: all names in the lists.
+        """
         for name, entry in list(self._entries.items()):
             if name in names or entry.member.health != messages.Health.DEAD:
                 continue
@@ -187,7 +191,7 @@
                 self._rumours.pop(name, None)
 
     def suspect(self, name: str, now: float) -> None:
-        """Note that a member did not answer."""
+        """Mark a member as suspected, because it did not answer."""
         entry = self._entries.get(name)
         if entry is None or entry.member.health != messages.Health.ALIVE:
             return
@@ -196,13 +200,13 @@
         )
 
     def restart_suspicion_timers(self, now: float) -> None:
-        """Give all suspects their whole time again."""
+        """Restart the time in which suspected members can refute."""
         for name in self._suspects:
             if name in self._entries:
                 self._entries[name].changed_at = now
 
     def expire_suspicions(self, now: float) -> None:
-        """Take suspects for dead whose time is up."""
+        """Declare suspected members dead if they did not refute in time."""
         for name in sorted(self._suspects):
             entry = self._entries.get(name)
             if entry is None or entry.member.health != messages.Health.SUSPECT:
@@ -237,11 +241,11 @@
     def _needs_spreading(
         self, before: messages.Member | None, member: messages.Member
     ) -> bool:
-        """Tell whether others may not know yet.
+        """Return whether other members may lack this state.
 
-        A newcomer hears of each member for the first time. Spreading all of
-        that in a region of a thousand would fill its heartbeats for half an
-        hour, and real news would wait behind it.
+        A process that joins receives the state of each member for the first
+        time. In a region of a thousand members, spreading all of it would
+        fill the heartbeats for half an hour and delay actual changes.
         """
         if member.health != messages.Health.ALIVE or member.leaving:
             return True
@@ -250,35 +254,39 @@
         return member.incarnation > self._own.incarnation
 
     def mark_heard(self, name: str, now: float) -> None:
-        """Note that a member itself has just sent something."""
+        """Record that a message was received from the member itself."""
         entry = self._entries.get(name)
         if entry is not None:
             entry.heard_at = now
 
     def drain_disputed(self) -> set[str]:
-        """Return members that shall hear at once that others bury them."""
-        accused = self._disputed
+        """Return the disputed members added since the last call.
+
+        They are reported dead but were heard from recently. They must be
+        pinged at once, so that they can refute the report.
+        """
+        disputed = self._disputed
         self._disputed = set()
-        return accused
+        return disputed
 
     def update_incarnation(
         self, name: str, incarnation: int, now: float
     ) -> None:
-        """Take a member's incarnation from a message that isn't a heartbeat.
+        """Update a member's incarnation from a message that is no heartbeat.
 
-        Peers of one service hear each other's loads long before a heartbeat
-        comes their way.
+        Peers of one service receive each other's load reports long before
+        the first heartbeat.
         """
         entry = self._entries.get(name)
         if entry is None or entry.member.incarnation >= incarnation:
             return
-        reborn = entry.member._replace(
+        restarted = entry.member._replace(
             incarnation=incarnation,
             counter=0,
             health=messages.Health.ALIVE,
             leaving=False,
         )
-        self._update_entry(entry, reborn, now)
+        self._update_entry(entry, restarted, now)
 
     def _queue_rumour(self, name: str) -> None:
         count = max(2, len(self._entries) + 1)
@@ -287,16 +295,17 @@
         )
 
     def pick_rumours(self, receiver: str) -> list[messages.Member]:
-        """Return the newest news for a member, and count them as sent."""
+        """Return the newest rumours for a member and count them as sent."""
         picked = []
-        first = sorted(
+        newest = sorted(
             self._rumours, key=self._rumours.__getitem__, reverse=True
         )
-        # The accused is always told, so that it can deny in time.
-        accused = self._entries.get(receiver)
-        if accused and accused.member.health != messages.Health.ALIVE:
-            picked.append(accused.member)
-        for name in first[: MAX_RUMOURS_PER_MESSAGE - len(picked)]:
+        # A suspected or dead receiver always gets its own entry, so that it
+        # can refute it in time.
+        entry = self._entries.get(receiver)
+        if entry and entry.member.health != messages.Health.ALIVE:
+            picked.append(entry.member)
+        for name in newest[: MAX_RUMOURS_PER_MESSAGE - len(picked)]:
             member = self.get(name)
             self._rumours[name] -= 1
             if self._rumours[name] <= 0:
@@ -306,7 +315,7 @@
         return picked
 
     def leaving_or_dead(self) -> list[messages.Member]:
-        """Return what a newcomer can't guess: who is leaving or dead."""
+        """Return the leaving and dead members, for a member that joins."""
         found = [
             entry.member
             for entry in self._entries.values()
@@ -318,7 +327,7 @@
     def merge_rumours(
         self, rumours: list[messages.Member], now: float
     ) -> None:
-        """Take news of others, and deny what is untrue of oneself."""
+        """Merge rumours about others; refute false ones about this process."""
         for member in rumours:
             if member.name == self._own.name:
                 self._refute(member)
@@ -326,7 +335,7 @@
                 self.merge_member(member, now)
 
     def merge_member(self, member: messages.Member, now: float) -> None:
-        """Take a member's state if it is newer than what is held."""
+        """Store a member's state if it is newer than the stored one."""
         if member.name == self._own.name:
             return
         entry = self._entries.get(member.name)
@@ -348,11 +357,12 @@
     def _is_disputed(
         self, entry: _Entry, member: messages.Member, now: float
     ) -> bool:
-        """Tell whether a member may be alive that others hold for dead.
+        """Return whether a member that is reported dead may be alive.
 
-        Whoever comes back from a cut holds all for dead that were on the
-        other side. Taken at their word, they would make living members drop
-        each other, and with them the requests that they run for each other.
+        After a partition heals, each side still reports the members of the
+        other side as dead. If such reports were accepted, living members
+        would drop each other, and with that the requests that they run for
+        each other.
         """
         return (
             member.health == messages.Health.DEAD
@@ -362,10 +372,10 @@
         )
 
     def _refute(self, rumour: messages.Member) -> None:
-        """Answer a rumour about oneself with a higher counter."""
+        """Refute a rumour about this process by a higher counter."""
         if rumour.incarnation > self._own.incarnation:
-            # The clock went back over a restart; others would ignore this
-            # process as its own past.
+            # The clock went back over a restart. Other members would ignore
+            # this process as an earlier incarnation of itself.
             self._own = self._own._replace(incarnation=rumour.incarnation + 1)
             self._own_incarnations.add(self._own.incarnation)
             self._queue_rumour(self._own.name)
@@ -373,7 +383,7 @@
         if rumour.incarnation < self._own.incarnation:
             return
         if rumour.leaving:
-            # Another process read it in the platform's list.
+            # Another process has read this in the platform's list.
             self.leave()
         if (
             rumour.health == messages.Health.ALIVE
@@ -405,7 +415,7 @@
     incarnation: int = 0,
     leaving: bool = False,
 ) -> messages.Member:
-    """Return a member as it is before anything is heard of it.
+    """Return the initial entry of a member.
 
     :param incarnation: 0 for members known from a list only.
     """
