--- a/packages/teaseldock/teaseldock/configuration.py
+++ b/packages/teaseldock/teaseldock/configuration.py
@@ -1,4 +1,4 @@
-"""Take published documents into force, in rising revisions only."""
+"""Put published documents into force, in ascending revisions only."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 class Digest(typing.NamedTuple):
-    """What a process has in force, small enough for each heartbeat.
+    """Summary of the documents held, small enough for each heartbeat.
 
-    :ivar generation: highest revision seen, accepted or not.
+    :ivar generation: highest revision received, accepted or not.
     :ivar checksum: of all keys, revisions and contents held.
     """
 
@@ -69,13 +69,13 @@
 class Configuration:
     """Hold the latest documents and the inventory that is in force.
 
-    Two sets of documents are kept. ``latest`` is the newest of each key,
-    whether it is any good or not; ``in force`` is the newest set that passed
-    all checks. They differ while a refused document waits for its author.
+    Two sets of documents are kept. ``latest`` holds the newest document of
+    each key, valid or not; ``in force`` is the newest set that passed all
+    checks. They differ until a refused document is corrected.
     """
 
     def __init__(self, *, trail: audit.AuditTrail) -> None:
-        """Start with nothing in force.
+        """Create a configuration without any documents.
 
         :param trail: receives a record for each change and refusal.
         """
@@ -109,12 +109,12 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether any service is in force."""
+        """Return whether at least one service is in force."""
         return bool(self._inventory.services)
 
     @property
     def alarms(self) -> int:
-        """Return how often one revision came with two contents."""
+        """Return how often one revision was received with two contents."""
         return self._alarms
 
     @property
@@ -123,7 +123,7 @@
         return self._refused
 
     def held(self) -> list[Document]:
-        """Return what is held, with a short hash in place of each text."""
+        """Return all documents, with a short hash as content of each."""
         return [
             item._replace(content=_short_hash(item.content))
             for item in self.documents()
@@ -134,43 +134,48 @@
     ) -> list[Document]:
         """Return the documents that a peer lacks.
 
-        :param held: as the peer's :meth:`held` returns it.
+        :param held: result of the peer's :meth:`held`.
         """
-        known = {(item.key, item.revision, item.content) for item in held}
+        held_by_peer = {
+            (item.key, item.revision, item.content) for item in held
+        }
         return [
             item
             for item in self.documents()
             if (item.key, item.revision, _short_hash(item.content))
-            not in known
+            not in held_by_peer
         ]
 
     def documents(self) -> list[Document]:
-        """Return what a newcomer needs: all in force, then all that wait."""
-        waiting = [
+        """Return the documents in force, then newer ones not in force.
+
+        A process that joins needs both.
+        """
+        not_in_force = [
             document
             for key, document in self._latest.items()
             if self._in_force.get(key) != document
         ]
-        return list(self._in_force.values()) + waiting
+        return list(self._in_force.values()) + not_in_force
 
     def offer(self, documents: list[Document], now: float) -> bool:
-        """Take documents from the service or a peer.
+        """Process documents from the service or a peer.
 
-        An older revision than the one held is refused: a stale replica of
-        the service or a slow peer sends these all day. The
-        fault to prevent is a process going back to rules that were already
-        replaced, which would show as a drained target getting new work.
+        A revision older than the one held is refused, as stale replicas of
+        the service and slow peers send such revisions all the time. If it
+        were accepted, the process would return to rules that were already
+        replaced, which shows as a drained target that gets new flows.
 
         :param now: wall-clock seconds since 1970, for the audit trail.
         :returns: whether the inventory in force changed.
         """
-        fresh = [item for item in documents if self._supersedes(item, now)]
-        if not fresh:
+        newer = [item for item in documents if self._supersedes(item, now)]
+        if not newer:
             return False
-        for document in fresh:
+        for document in newer:
             self._replace(document)
-        changed = self._apply(fresh, now)
-        for document in fresh:
+        changed = self._apply(newer, now)
+        for document in newer:
             self._evict_parsed(document.key)
         self._digest = Digest(
             max(item.revision for item in self._latest.values()),
@@ -179,14 +184,14 @@
         return changed
 
     def _replace(self, document: Document) -> None:
-        """Hold a document, and keep the checksum of all that are held.
+        """Store a document and update the checksum of all documents.
 
-        A sum doesn't depend on the order, and takes the same short time for
-        one part changed out of thousands.
+        The checksum is a sum. It does not depend on the order of documents,
+        and the time of an update does not depend on their number.
         """
-        former = self._latest.get(document.key)
-        if former is not None:
-            self._checksum -= _fingerprint(former)
+        previous = self._latest.get(document.key)
+        if previous is not None:
+            self._checksum -= _fingerprint(previous)
         self._latest[document.key] = document
         self._checksum += _fingerprint(document)
         self._checksum %= _CHECKSUM_MODULUS
@@ -201,8 +206,8 @@
         if document.content == held.content:
             return False
         # One revision with two contents: two replicas of the service were
-        # written apart. Without a fixed winner, processes that read different
-        # replicas would route the same flow differently for good.
+        # written independently. Without a deterministic choice, processes
+        # that read different replicas would never agree on a flow's route.
         self._alarms += 1
         self._trail.add(
             audit.AuditRecord(
@@ -220,40 +225,41 @@
     def _audit_older(
         self, document: Document, held: Document, now: float
     ) -> None:
-        """Audit an older revision, once for each: a stale replica repeats."""
+        """Audit an older revision once; stale replicas send it repeatedly."""
         if self._audited_older.get(document.key) == document.revision:
             return
         self._audited_older[document.key] = document.revision
         error = exceptions.RevisionError(
             document.key,
             f'revision {document.revision} is older than {held.revision}',
-            remedy='to go back, publish the old text again',
+            remedy='to restore an old text, publish it again',
         )
         self._record_refusal(document, error, now)
 
     def _parse(self, document: Document) -> typing.Any:
-        of_key = self._parsed.setdefault(document.key, {})
-        identity = (document.revision, document.content)
-        if identity not in of_key:
-            of_key[identity] = inventory.parse(
+        versions = self._parsed.setdefault(document.key, {})
+        version = (document.revision, document.content)
+        if version not in versions:
+            versions[version] = inventory.parse(
                 document.key, document.content, _document_type(document.key)
             )
-        return of_key[identity]
+        return versions[version]
 
     def _evict_parsed(self, key: str) -> None:
-        """Keep the parsed form of what is held under a key, and no other.
+        """Evict the parsed forms of a key that are no longer held.
 
-        Each change would otherwise leave its predecessor in memory; at
-        15,000 changes a day a process would outgrow its share in hours.
+        Each change would otherwise leave its predecessor in memory. At
+        15,000 changes a day a process would exceed its memory limit within
+        hours.
         """
         held = {
             (item.revision, item.content)
             for item in (self._latest.get(key), self._in_force.get(key))
             if item is not None
         }
-        of_key = self._parsed.get(key, {})
-        for identity in of_key.keys() - held:
-            del of_key[identity]
+        versions = self._parsed.get(key, {})
+        for version in versions.keys() - held:
+            del versions[version]
 
     def _parts(self, documents: typing.Iterable[Document]) -> inventory.Parts:
         parts = inventory.Parts([], [])
@@ -268,10 +274,10 @@
     def preview(
         self, documents: typing.Iterable[Document]
     ) -> inventory.Inventory:
-        """Return the inventory that documents would make, if put in force.
+        """Return the inventory that would result from accepting documents.
 
-        :raises DocumentError: if a document cannot be read.
-        :raises InventoryError: if the documents do not fit together.
+        :raises DocumentError: if a document cannot be parsed.
+        :raises InventoryError: if the documents are inconsistent.
         """
         documents = sorted(documents)
         replaced = [
@@ -283,30 +289,35 @@
             self._inventory, self._parts(replaced), self._parts(documents)
         )
 
-    def _apply(self, fresh: list[Document], now: float) -> bool:
-        """Put the largest valid set of the latest documents into force.
+    def _apply(self, newer: list[Document], now: float) -> bool:
+        """Put as many valid documents as possible into force.
+
+        All documents that are not in force are tried together first, since a
+        register and the rules that name its new instances are published one
+        after the other. If that fails, each is tried alone, so that an error
+        of one team does not block the change of another team.
 
-        All of them together come first, since a register and the rules that
-        name its new instances are published one after the other. If that
-        fails, each is tried alone, so that one team's mistake doesn't hold
-        up another team's change.
+        :param newer: documents just received; only these are audited if they
+            are refused.
         """
-        waiting = {
+        not_in_force = {
             key: document
             for key, document in self._latest.items()
             if self._in_force.get(key) != document
         }
-        tried = self._try_preview(waiting.values())
+        tried = self._try_preview(not_in_force.values())
         if isinstance(tried, inventory.Inventory):
-            self._put_in_force(waiting, tried, now)
+            self._put_in_force(not_in_force, tried, now)
             return True
         changed = False
-        for document in sorted(waiting.values(), key=lambda d: d.revision):
+        for document in sorted(
+            not_in_force.values(), key=lambda d: d.revision
+        ):
             tried = self._try_preview([document])
             if isinstance(tried, inventory.Inventory):
                 self._put_in_force({document.key: document}, tried, now)
                 changed = True
-            elif document in fresh:
+            elif document in newer:
                 self._record_refusal(document, tried, now)
         return changed
 
@@ -321,18 +332,18 @@
     def _put_in_force(
         self,
         documents: dict[str, Document],
-        joined: inventory.Inventory,
+        contents: inventory.Inventory,
         now: float,
     ) -> None:
         before = self._inventory
-        touched = [
+        affected = [
             self._in_force[key] for key in documents if key in self._in_force
         ]
-        touched.extend(documents.values())
-        names = merge.entry_names(self._parts(touched))
+        affected.extend(documents.values())
+        names = merge.entry_names(self._parts(affected))
         self._in_force.update(documents)
-        self._inventory = joined
-        detail = merge.describe(before, joined, names)
+        self._inventory = contents
+        detail = merge.describe(before, contents, names)
         for document in documents.values():
             self._trail.add(
                 audit.AuditRecord(
@@ -367,8 +378,8 @@
 def check_documents(documents: list[Document]) -> inventory.Inventory:
     """Check a whole configuration without putting it into force.
 
-    :raises DocumentError: if a document cannot be read.
-    :raises InventoryError: if the documents do not fit together.
+    :raises DocumentError: if a document cannot be parsed.
+    :raises InventoryError: if the documents are inconsistent.
     """
     configuration = Configuration(trail=audit.AuditTrail(length=1))
     return configuration.preview(documents)
--- a/packages/teaseldock/teaseldock/inventory.py
+++ b/packages/teaseldock/teaseldock/inventory.py
@@ -1,4 +1,7 @@
-"""Describe the operators' register and rules, and check them as a whole."""
+"""Define the documents of the operators, register and rules, and parse them.
+
+:mod:`teaseldock.merge` checks them as a whole.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from teaseldock import exceptions
 from teaseldock import flow
 
-#: Largest value that the configuration service holds, in bytes.
+#: Largest document that the configuration service stores, in bytes.
 MAX_DOCUMENT_BYTES = 1_000_000
 
 Name = typing.Annotated[str, msgspec.Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
@@ -28,11 +31,11 @@
 
 
 class Instance(typing.TypedDict):
-    """A backend server instance as the asset register knows it.
+    """A backend server instance, as the asset register lists it.
 
-    ``peer_port`` is the UDP port of the agent in the instance's slot,
-    ``slots`` the requests that the server runs at once, ``connections`` the
-    flows that it may hold.
+    ``peer_port`` is the UDP port of the instance's agent, ``slots`` the
+    number of requests that the server runs at once, ``connections`` the
+    number of flows that it may hold.
     """
 
     name: Name
@@ -51,7 +54,7 @@
 
 
 class Target(typing.TypedDict):
-    """An instance that serves a service, at the share its team pays for."""
+    """A serving instance; its weight is the share that its team pays for."""
 
     instance: Name
     port: Port
@@ -59,7 +62,7 @@
 
 
 class RequestClass(typing.TypedDict):
-    """Requests that weigh more than one, by CoAP method and first segment."""
+    """Weight of a class of requests, by CoAP method and first segment."""
 
     name: Name
     method: typing.Literal['GET', 'POST', 'PUT', 'DELETE', 'PATCH']
@@ -78,19 +81,19 @@
 
 
 class Rules(typing.TypedDict):
-    """What operators add to the register, or one part of it."""
+    """Services and leaving instances, or one part of them."""
 
     services: list[Service]
     leaving: list[Name]
 
 
 class Index(typing.NamedTuple):
-    """What makes checking one changed part quick.
+    """Lookup tables that make checks of one changed part fast.
 
     :ivar endpoints: service name by address and port.
     :ivar slots: instance name by address and peer port.
     :ivar uses: number of services that an instance serves.
-    :ivar leaving: number of parts that call an instance leaving.
+    :ivar leaving: number of parts that list an instance as leaving.
     """
 
     endpoints: dict[tuple[str, int], str]
@@ -100,11 +103,11 @@
 
 
 class Inventory(typing.NamedTuple):
-    """Register and rules, joined and checked.
+    """Register and rules, merged and checked.
 
     :ivar instances: by name.
     :ivar services: by name.
-    :ivar leaving: names of instances that get no new work.
+    :ivar leaving: names of instances that get no new flows or requests.
     :ivar index: for :mod:`teaseldock.merge` only.
     """
 
@@ -137,27 +140,27 @@
 ) -> dict[str, object]:
     seen: dict[str, object] = {}
     for name, value in pairs:
-        # A JSON reader silently keeps the last of two equal keys, so an
-        # operator's first entry would vanish without a trace.
+        # JSON parsers silently keep the last of two equal keys, so an
+        # operator's first entry would be lost without an error.
         if name in seen:
             raise exceptions.DocumentError(
-                name, 'the key stands twice', remedy='keep one of the two'
+                name, 'duplicate key', remedy='keep one of the two'
             )
         seen[name] = value
     return seen
 
 
 def parse(place: str, raw: bytes, kind: type) -> typing.Any:
-    """Read one document.
+    """Parse and validate one document.
 
     :param place: the document's key, used in messages.
     :param kind: :class:`Register` or :class:`Rules`.
-    :raises DocumentError: with the path of the first thing that is wrong.
+    :raises DocumentError: if it is invalid, with the path of the first error.
     """
     if len(raw) > MAX_DOCUMENT_BYTES:
         raise exceptions.DocumentError(
             place,
-            f'{len(raw)} bytes are more than {MAX_DOCUMENT_BYTES}',
+            f'{len(raw)} bytes exceed the limit of {MAX_DOCUMENT_BYTES}',
             remedy='divide the document into parts',
         )
     try:
@@ -191,5 +194,5 @@
 
 
 def peer_endpoint(instance: Instance) -> flow.Endpoint:
-    """Return the endpoint of the agent beside a backend server."""
+    """Return the endpoint of the agent of an instance."""
     return flow.Endpoint(instance['address'], instance['peer_port'])
--- a/packages/teaseldock/teaseldock/merge.py
+++ b/packages/teaseldock/teaseldock/merge.py
@@ -1,4 +1,4 @@
-"""Join parts of register and rules into an inventory; tell what changed."""
+"""Merge parts of register and rules into an inventory; describe changes."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from teaseldock import exceptions
 from teaseldock import inventory
 
-#: Names in one description for each kind of change.
+#: Maximum number of names per kind of change in a description.
 MAX_DESCRIBED_NAMES = 8
 
 
 class EntryNames(typing.NamedTuple):
-    """Names of entries that a change may touch."""
+    """Names of entries that a change may affect."""
 
     instances: set[str]
     services: set[str]
@@ -25,14 +25,14 @@
     except ValueError as error:
         raise exceptions.InventoryError(
             place,
-            f'{text!r} is no IPv4 address',
-            remedy='write four numbers with dots',
+            f'{text!r} is not an IPv4 address',
+            remedy='use dotted decimal notation',
         ) from error
 
 
 def _duplicate_name(place: str, remedy: str) -> exceptions.InventoryError:
     return exceptions.InventoryError(
-        place, 'the name stands twice', remedy=remedy
+        place, 'the name is not unique', remedy=remedy
     )
 
 
@@ -70,16 +70,16 @@
         if names.count(name) > 1:
             raise exceptions.InventoryError(
                 f'{place}/{name}',
-                'the instance stands twice',
+                'the instance is listed more than once',
                 remedy='keep one entry and set its weight',
             )
 
 
 class _InventoryUpdate:
-    """Copy an inventory, take parts out and put parts in, then check.
+    """Copy an inventory, remove and add parts, and check the result.
 
-    Only the entries of the parts are looked at: a change of one part among
-    thousands must cost milliseconds, as it happens at every process.
+    Only the entries of these parts are processed: a change of one part among
+    thousands must take only milliseconds, as every process applies it.
     """
 
     def __init__(self, previous: inventory.Inventory) -> None:
@@ -98,7 +98,7 @@
         self._touched_services: set[str] = set()
 
     def remove(self, parts: inventory.Parts) -> None:
-        """Take parts out."""
+        """Remove parts."""
         for register in parts.registers:
             for centre in register['data_centres']:
                 self._data_centres.pop(centre['name'], None)
@@ -125,9 +125,9 @@
         )
 
     def add(self, parts: inventory.Parts) -> None:
-        """Put parts in.
+        """Add parts.
 
-        :raises InventoryError: if a name or an endpoint is taken.
+        :raises InventoryError: if a name or an endpoint is already in use.
         """
         for register in parts.registers:
             for centre in register['data_centres']:
@@ -142,7 +142,9 @@
     def _add_data_centre(self, centre: inventory.DataCentre) -> None:
         name = centre['name']
         if name in self._data_centres:
-            raise _duplicate_name(f'register/data_centres/{name}', 'keep one')
+            raise _duplicate_name(
+                f'register/data_centres/{name}', 'keep one entry'
+            )
         self._data_centres[name] = centre
 
     def _add_instance(self, instance: inventory.Instance) -> None:
@@ -183,9 +185,9 @@
         )
 
     def build(self) -> inventory.Inventory:
-        """Return the new inventory, checked.
+        """Check the new inventory and return it.
 
-        :raises InventoryError: with the place and the remedy.
+        :raises InventoryError: if a check fails.
         """
         leaving = frozenset(
             name for name, count in self._index.leaving.items() if count > 0
@@ -219,18 +221,18 @@
                 raise exceptions.InventoryError(
                     f'rules/leaving/{name}',
                     'the instance is not in the register',
-                    remedy='remove the line or correct the name',
+                    remedy='remove the entry or correct the name',
                 )
 
     def _check_removed_instances(self, contents: inventory.Inventory) -> None:
-        """Refuse to remove an instance that a service still names."""
+        """Refuse to remove an instance that is a target of a service."""
         for name in sorted(self._touched_instances):
             if name in contents.instances or self._index.uses[name] <= 0:
                 continue
             raise exceptions.InventoryError(
                 f'register/instances/{name}',
-                'it is gone, and the rules still name it as a target',
-                remedy='take it out of the rules first',
+                'the instance was removed, but the rules name it as a target',
+                remedy='remove it from the rules first',
             )
 
 
@@ -239,10 +241,10 @@
     removed: inventory.Parts,
     added: inventory.Parts,
 ) -> inventory.Inventory:
-    """Return an inventory in which some parts were replaced.
+    """Return an inventory in which some parts are replaced.
 
-    :raises InventoryError: with the place and the remedy; nothing of the
-        parts may then come into force.
+    :raises InventoryError: if a check fails; none of the added parts may
+        then be put into force.
     """
     revision = _InventoryUpdate(previous)
     revision.remove(removed)
@@ -254,9 +256,9 @@
     registers: typing.Iterable[inventory.Register],
     rules: typing.Iterable[inventory.Rules],
 ) -> inventory.Inventory:
-    """Join all parts of register and rules and check them as a whole.
+    """Merge all parts of register and rules and check them as a whole.
 
-    :raises InventoryError: with the place and the remedy.
+    :raises InventoryError: if a check fails.
     """
     added = inventory.Parts(list(registers), list(rules))
     return replace_parts(inventory.EMPTY_INVENTORY, inventory.NO_PARTS, added)
@@ -297,7 +299,7 @@
     after: inventory.Inventory,
     names: EntryNames,
 ) -> str:
-    """Return one line on what differs between two inventories.
+    """Return a one-line summary of the differences of two inventories.
 
     :param names: of the entries that may differ.
     """
