--- a/packages/teaseldock/teaseldock/__init__.py
+++ b/packages/teaseldock/teaseldock/__init__.py
@@ -1,4 +1,7 @@
-"""Decide how a layer-4 load balancer routes, places, admits and recovers."""
+"""Decide routing, placement, admission and recovery of a load balancer.
+
+The load balancer works on layer 4. The library does no I/O.
+"""
 
 from __future__ import annotations
 
--- a/packages/teaseldock/teaseldock/announcer.py
+++ b/packages/teaseldock/teaseldock/announcer.py
@@ -1,4 +1,4 @@
-"""Tell the owners of buckets which flows are held here."""
+"""Announce the flows held here to the owners of their buckets."""
 
 from __future__ import annotations
 
@@ -13,19 +13,25 @@
     from teaseldock import holder
     from teaseldock import table
 
-#: Flows in one message, about 700 bytes.
+#: Maximum number of flows per message, which then has about 700 bytes.
 FLOWS_PER_BATCH = 40
-#: Bytes of a message and its acknowledgement without flows, and of one flow.
+#: Bytes of a message and its acknowledgement without flows, and of one flow,
+#: as counted by the control budget.
 MESSAGE_BYTES = 200
 FLOW_BYTES = 16
-#: Seconds until a batch without acknowledgement is sent again.
+#: Seconds after which a batch without acknowledgement is sent again.
 RETRANSMIT_S = 0.6
-#: Seconds after a change in which other agents may still have the old view.
+#: Seconds after a change of owners in which other agents may still have the
+#: old view.
 STALE_VIEW_S = 5.0
 
 
 class OwnerId(typing.NamedTuple):
-    """Who owns a bucket; one that started again knows nothing any more."""
+    """Owner of a bucket.
+
+    A restarted process counts as a new owner, because it has lost all
+    announcements.
+    """
 
     name: str
     incarnation: int
@@ -38,7 +44,7 @@
 
 
 class Announcer:
-    """Spread announcements of moved buckets within the control budget."""
+    """Send announcements of moved buckets within the control budget."""
 
     def __init__(
         self,
@@ -46,7 +52,7 @@
         service: table.ServiceTable,
         held: holder.Holder,
     ) -> None:
-        """Start with nothing to tell."""
+        """Create an announcer without pending announcements."""
         self._shared = shared
         self._service = service
         self._holder = held
@@ -58,7 +64,7 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many flows have yet to be announced."""
+        """Return the number of flows that wait to be announced."""
         return sum(len(queue) for queue in self._queues.values())
 
     def refresh(self, service: table.ServiceTable, now: float) -> None:
@@ -76,8 +82,8 @@
         if not changed:
             return
         self._changed_at = now
-        # An owner is told even if there is no flow for it: it searches for
-        # unknown flows until it hears from every peer.
+        # An owner is sent a message even if there is no flow to announce: it
+        # searches for unknown flows until every peer has confirmed.
         for bucket in changed:
             self._queues.setdefault(owners[bucket], collections.deque())
         for flow in self._holder.flows:
@@ -94,8 +100,8 @@
     def announce_adopted(self, flow: bytes, now: float) -> None:
         """Announce one flow that another agent has just placed here.
 
-        Its placing agent may be a bucket's former owner whose view is late;
-        the new owner has then been told "complete" too early.
+        The placing agent may be the bucket's former owner with an outdated
+        view. The new owner has then received "complete" too early.
         """
         if now - self._changed_at < STALE_VIEW_S:
             self.announce(flow)
@@ -108,16 +114,16 @@
             queue.append(flow)
 
     def announce_taken_over(self, flow: bytes) -> None:
-        """Announce a flow that its former holder has given to this one.
+        """Announce a flow that its former holder has transferred here.
 
-        The owner's entry still names the former holder, and would stand
-        against a plain announcement.
+        The owner's entry still names the former holder and would take
+        precedence over a plain announcement.
         """
         self._taken_over.add(flow)
         self.announce(flow)
 
     def tick(self, now: float) -> list[messages.Action]:
-        """Send what the budget allows, repeats first."""
+        """Send what the budget allows, retransmissions first."""
         actions: list[messages.Action] = []
         for number, batch in list(self._batches.items()):
             if now >= batch.repeat_at and self._shared.budget.has_room(now):
@@ -171,24 +177,26 @@
         return self._shared.view.to_peer(owner.name, message)
 
     def _complete_buckets(self, owner: OwnerId) -> bytes:
-        """Return the buckets of which an owner has been told everything.
+        """Return the buckets whose flows are all announced to an owner.
+
+        Batches without acknowledgement may be lost. While there are any, the
+        result is empty; a later message carries the buckets instead.
 
-        Batches on the way may be lost; while there are any, their repeats
-        come with the word, computed anew.
+        :returns: packed buckets, see :func:`teaseldock.flow.pack_buckets`.
         """
         for batch in self._batches.values():
             if batch.owner == owner and batch.flows:
                 return b''
         return flows.pack_buckets(
             bucket
-            for bucket, known in enumerate(self._owners)
-            if known == owner
+            for bucket, current in enumerate(self._owners)
+            if current == owner
         )
 
     def on_announced(
         self, message: messages.Announced, now: float
     ) -> list[messages.Action]:
-        """Take an acknowledgement; let go of flows that moved on."""
+        """Process an acknowledgement; release flows held by other targets."""
         batch = self._batches.pop(message.batch, None)
         if batch is None:
             return []
@@ -200,6 +208,6 @@
             if self._holder.may_move(flow, now):
                 actions += self._holder.release(flow, now)
         if batch.flows and batch.owner not in self._queues:
-            # The last batch on the way is in: the word can follow.
+            # The last batch is acknowledged: the buckets are now complete.
             self._queues[batch.owner] = collections.deque()
         return actions
--- a/packages/teaseldock/teaseldock/audit.py
+++ b/packages/teaseldock/teaseldock/audit.py
@@ -1,21 +1,21 @@
-"""Keep the audit trail of changes in a bounded ring."""
+"""Keep the audit trail of changes in a ring buffer."""
 
 from __future__ import annotations
 
 import collections
 import typing
 
-#: Changes that a process remembers; older ones are in the log only.
+#: Records that a process keeps; older ones are in the log only.
 AUDIT_LENGTH = 512
 
 
 class AuditRecord(typing.NamedTuple):
-    """One change as this process saw it.
+    """One change at this process.
 
     :ivar in_force_at: wall-clock seconds since 1970 at this process.
     :ivar key: document, or ``membership/NAME``.
     :ivar revision: of the document, or incarnation of the member.
-    :ivar publisher: who published; empty for changes nobody published.
+    :ivar publisher: who published the document; empty for a member.
     :ivar outcome: ``in force``, ``refused``, ``alarm`` or a member state.
     :ivar detail: what changed, or why it was refused.
     """
@@ -29,12 +29,12 @@
 
 
 class AuditTrail:
-    """Hold the last changes, and hand new ones out once for the log."""
+    """Hold the latest records and return new ones once, for the log."""
 
     def __init__(self, *, length: int = AUDIT_LENGTH) -> None:
-        """Start with no record.
+        """Create an empty audit trail.
 
-        :param length: records kept.
+        :param length: number of records kept.
         """
         self._records: collections.deque[AuditRecord] = collections.deque(
             maxlen=length
@@ -55,6 +55,6 @@
 
     def drain(self) -> list[AuditRecord]:
         """Return the records added since the last call."""
-        fresh = list(self._unlogged)
+        added = list(self._unlogged)
         self._unlogged.clear()
-        return fresh
+        return added
--- a/packages/teaseldock/teaseldock/balancer.py
+++ b/packages/teaseldock/teaseldock/balancer.py
@@ -1,4 +1,4 @@
-"""Decide for an entry instance."""
+"""Implement the decisions of a balancer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         randomness: random.Random,
         now: float,
     ) -> None:
-        """Start with nothing in force.
+        """Create a balancer without any documents.
 
         :param hash_key: key of the flow hash.
         """
@@ -30,11 +30,11 @@
 
     @property
     def router(self) -> routing.Router:
-        """Return the part that routes packets."""
+        """Return the router of packets."""
         return self._router
 
     def on_view_changed(self, now: float) -> list[messages.Action]:
-        """Do nothing: the router looks at the view's version."""
+        """Do nothing; the router checks the view's version."""
         return []
 
     def status(self, now: float) -> dict[str, typing.Any]:
--- a/packages/teaseldock/teaseldock/directory.py
+++ b/packages/teaseldock/teaseldock/directory.py
@@ -1,4 +1,4 @@
-"""Decide, as the owner of buckets, which target holds a flow."""
+"""Record which target holds each flow of the buckets owned by this agent."""
 
 from __future__ import annotations
 
@@ -7,33 +7,34 @@
 from teaseldock import flow_store
 from teaseldock import proxy_header
 
-#: Longest time after gaining a bucket in which unknown flows are searched
-#: for, should a peer never say that it has announced all of its flows.
+#: Maximum seconds after gaining a bucket in which unknown flows are searched
+#: for, if a peer never confirms that it has announced all of its flows.
 SEARCH_WINDOW_S = 10.0
-#: Seconds for which a peer's word about a bucket that is not yet owned here
-#: is kept; its view may be ahead of this agent's.
+#: Seconds for which a peer's confirmation of a bucket that is not yet owned
+#: here is kept; its view may be ahead of this agent's.
 EARLY_CONFIRMATION_S = 5.0
-#: Seconds between two rounds of asking.
+#: Seconds between two rounds of a search.
 SEARCH_REPEAT_S = 0.15
-#: Rounds of asking before the silent ones are taken as not holding.
+#: Rounds after which peers without an answer count as not holding the flow.
 SEARCH_ROUNDS = 4
-#: Packets of one flow kept while it is searched for.
+#: Maximum number of packets of one flow queued during its search.
 MAX_PACKETS_PER_SEARCH = 4
-#: Flows searched for at once; beyond it packets are dropped and counted.
+#: Maximum number of searches; packets beyond them are dropped and counted.
 MAX_SEARCHES = 4096
 
 
 class Search:
-    """Hold the packets of a flow while its holder is asked for."""
+    """Queue the packets of a flow while its holder is searched for."""
 
     __slots__ = ('bucket', 'packets', 'unanswered', 'rounds', 'repeat_at')
 
     def __init__(
         self, bucket: int, unanswered: set[str], repeat_at: float
     ) -> None:
-        """Begin with no packet.
+        """Create a search without packets.
 
-        :param unanswered: instances that have yet to answer.
+        :param unanswered: instances that have not answered yet.
+        :param repeat_at: monotonic time of the next round, in seconds.
         """
         self.bucket = bucket
         self.packets: list[proxy_header.Packet] = []
@@ -43,8 +44,9 @@
 
 
 class SearchWindow(typing.NamedTuple):
-    """Time in which the flows of a gained bucket are not all known.
+    """Period in which a gained bucket may have unknown flows.
 
+    :ivar until: monotonic time of its end, in seconds.
     :ivar unconfirmed: peers that may still hold unannounced flows.
     """
 
@@ -53,14 +55,14 @@
 
 
 class Directory:
-    """Know the holders of the flows whose buckets this agent owns.
+    """Map the flows of the buckets owned by this agent to their holders.
 
-    Only flows that another target holds have an entry: most flows are held
-    by the owner itself, whose own flow store answers for them.
+    Only flows that another target holds have an entry. Most flows are held
+    by the owner itself and are found in its own flow store.
     """
 
     def __init__(self, now: float) -> None:
-        """Start with all buckets unowned."""
+        """Create a directory that owns no bucket."""
         self._holders = flow_store.FlowStore(now)
         self._windows: dict[int, SearchWindow] = {}
         self._early_confirmations: dict[tuple[str, int], float] = {}
@@ -72,19 +74,19 @@
 
     @property
     def searches(self) -> dict[bytes, Search]:
-        """Return the searches under way, by flow."""
+        """Return the running searches, by flow."""
         return self._searches
 
     def set_owned(
         self, buckets: set[int], peers: typing.Iterable[str], now: float
     ) -> None:
-        """Take over the set of owned buckets.
+        """Replace the set of owned buckets.
 
-        A bucket that is new to this agent may have flows that others hold
-        and that this agent has never heard of. Placing these anew would break
-        them, which a caller would notice as a feed that goes silent; so
-        unknown flows of the bucket are searched for, until each peer has said
-        that it announced all that it holds.
+        A newly owned bucket may have flows that other targets hold and that
+        have no entry here. Placing such a flow again would break it, which
+        shows at the caller as a feed without further notifications. Unknown
+        flows of the bucket are therefore searched for until each peer has
+        confirmed that it has announced all flows that it holds.
 
         :param peers: living instances of the service.
         """
@@ -108,7 +110,7 @@
     def confirm(
         self, name: str, buckets: typing.Iterable[int], now: float
     ) -> None:
-        """Note that a peer has announced all it holds in some buckets."""
+        """Record that a peer has announced all its flows of some buckets."""
         for bucket in buckets:
             window = self._windows.get(bucket)
             if window is not None:
@@ -135,11 +137,11 @@
         return set()
 
     def holder_of(self, flow: bytes) -> str | None:
-        """Return the instance that holds a flow, as far as is known."""
+        """Return the recorded holder of a flow, or None."""
         return self._holders.get(flow)
 
     def set_holder(self, flow: bytes, holder: str) -> None:
-        """Note the holder of a flow."""
+        """Record the holder of a flow."""
         self._holders.put(flow, holder)
 
     def remove_holder(self, flow: bytes) -> None:
@@ -153,43 +155,44 @@
         peers: typing.Iterable[str],
         now: float,
     ) -> Search | None:
-        """Keep a packet until its flow is found.
+        """Queue a packet until the holder of its flow is found.
 
-        :returns: the search if it has just begun and others must be asked.
+        :returns: the search if it is new and its peers must be asked; None
+            if one is already running or there are too many.
         """
-        known = self._searches.get(packet.flow)
-        if known is not None:
-            if len(known.packets) < MAX_PACKETS_PER_SEARCH:
-                known.packets.append(packet)
+        running = self._searches.get(packet.flow)
+        if running is not None:
+            if len(running.packets) < MAX_PACKETS_PER_SEARCH:
+                running.packets.append(packet)
             return None
         if len(self._searches) >= MAX_SEARCHES:
             return None
-        begun = Search(bucket, set(peers), now + SEARCH_REPEAT_S)
-        begun.packets.append(packet)
-        self._searches[packet.flow] = begun
-        return begun
+        started = Search(bucket, set(peers), now + SEARCH_REPEAT_S)
+        started.packets.append(packet)
+        self._searches[packet.flow] = started
+        return started
 
     def due_searches(self, now: float) -> list[tuple[bytes, Search]]:
-        """Return the searches whose silent peers must be asked again."""
-        found = []
+        """Return the searches whose remaining peers must be asked again."""
+        due = []
         for flow, search in self._searches.items():
             if now >= search.repeat_at:
                 search.repeat_at = now + SEARCH_REPEAT_S
-                found.append((flow, search))
-        return found
+                due.append((flow, search))
+        return due
 
     def finish_search(self, flow: bytes) -> list[proxy_header.Packet]:
-        """End a search and return the packets it held back."""
+        """End a search and return its queued packets."""
         search = self._searches.pop(flow, None)
         return search.packets if search else []
 
     def expire(self, now: float) -> None:
-        """Forget idle entries and words that came too early."""
+        """Evict idle entries and outdated early confirmations."""
         self._holders.expire(now, lambda flow, holder: False)
         if not self._early_confirmations:
             return
         self._early_confirmations = {
-            key: heard_at
-            for key, heard_at in self._early_confirmations.items()
-            if now - heard_at < EARLY_CONFIRMATION_S
+            key: received_at
+            for key, received_at in self._early_confirmations.items()
+            if now - received_at < EARLY_CONFIRMATION_S
         }
--- a/packages/teaseldock/teaseldock/load.py
+++ b/packages/teaseldock/teaseldock/load.py
@@ -1,4 +1,4 @@
-"""Report the load of targets in a few bytes, fit to travel with requests."""
+"""Encode load reports of targets, small enough to be sent with requests."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     :ivar queued: requests that wait in the agent.
     :ivar slots: requests that the server may run at once now.
     :ivar flows: flows held.
-    :ivar work: weight of the requests begun in the last second.
-    :ivar accepting: whether it may get new work.
+    :ivar work: total weight of the requests begun in the last second.
+    :ivar accepting: whether the target accepts new flows and requests.
     """
 
     running: int
@@ -33,10 +33,10 @@
 
 
 class Report(typing.NamedTuple):
-    """A load, whose it is and how old it is.
+    """A load, its instance and its age.
 
     :ivar number: of the instance, see :func:`instance_number`.
-    :ivar age_s: seconds since it was measured, at the sender's reckoning.
+    :ivar age_s: seconds since the measurement, as computed by the sender.
     """
 
     number: int
@@ -45,16 +45,16 @@
 
 
 def instance_number(instance: str) -> int:
-    """Return the 32-bit number that stands for an instance."""
-    # Imported here: processes that carry packets read loads but rank no table,
-    # and need not wait for it when they start.
+    """Return the 32-bit number that identifies an instance."""
+    # Imported here, because processes that carry packets read load reports
+    # but rank no targets: the import would only delay their start.
     from teaseldock import table
 
     return table.service_id(f'instance/{instance}')
 
 
 def pack_report(number: int, age_s: float, load: Load) -> bytes:
-    """Return one report; what is too large for its field is cut."""
+    """Encode one report; a value too large for its field is capped."""
     return _LAYOUT.pack(
         number,
         min(_MAX_UINT16, int(age_s * 1000)),
@@ -68,7 +68,7 @@
 
 
 def read_reports(packed: bytes) -> list[Report]:
-    """Return the reports within bytes; a rest that is cut is passed over."""
+    """Decode reports; an incomplete report at the end is ignored."""
     whole = len(packed) - len(packed) % REPORT_BYTES
     reports = []
     for fields in _LAYOUT.iter_unpack(packed[:whole]):
--- a/packages/teaseldock/teaseldock/routing.py
+++ b/packages/teaseldock/teaseldock/routing.py
@@ -1,4 +1,4 @@
-"""Decide for a balancer where each packet goes, without state per flow."""
+"""Route the packets of a balancer, without state per flow."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Route(typing.NamedTuple):
-    """Where a packet goes.
+    """Destination of a packet.
 
     :ivar address: host and port of the owner's agent.
-    :ivar tlv: what the agent must know, ready to be sent.
+    :ivar tlv: encoded TLV for the agent, without its tag.
     """
 
     address: tuple[str, int]
@@ -25,7 +25,7 @@
 
 
 class _ServiceRoute(typing.NamedTuple):
-    """What all packets of one service share."""
+    """Table and TLV that all packets of one service share."""
 
     service: table.ServiceTable
     tlv: bytes
@@ -34,13 +34,13 @@
 class Router:
     """Map a flow to the agent that owns its bucket.
 
-    State grows with services and instances, never with flows or buckets.
+    Its state grows with services and instances, not with flows or buckets.
     """
 
     def __init__(self, *, current: view.View, hash_key: bytes) -> None:
-        """Start with no route computed.
+        """Create a router without cached routes.
 
-        :param current: view to route by.
+        :param current: view that determines the owners of buckets.
         :param hash_key: key of the flow hash, equal on every process.
         """
         self._view = current
@@ -52,7 +52,7 @@
 
     @property
     def dropped(self) -> collections.Counter[str]:
-        """Return packets dropped, by reason."""
+        """Return the number of dropped packets, by reason."""
         return self._dropped
 
     def route(self, flow_key: bytes) -> Route | None:
@@ -62,17 +62,17 @@
             self._addresses.clear()
             self._version = self._view.version
         endpoint = flow_key[4:8] + flow_key[10:12]
-        known = self._services.get(endpoint) or self._add_service(endpoint)
-        if known is None:
+        routes = self._services.get(endpoint) or self._add_service(endpoint)
+        if routes is None:
             self._dropped['unknown_service'] += 1
             return None
         bucket = flow.bucket_of(flow_key, key=self._hash_key)
-        name = self._view.owner(known.service, bucket)
+        name = self._view.owner(routes.service, bucket)
         address = self._addresses.get(name) or self._find_address(name)
         if address is None:
             self._dropped['no_target'] += 1
             return None
-        return Route(address, known.tlv)
+        return Route(address, routes.tlv)
 
     def _add_service(self, endpoint: bytes) -> _ServiceRoute | None:
         service = self._view.table.service_at(endpoint)
--- a/packages/teaseldock/teaseldock/table.py
+++ b/packages/teaseldock/teaseldock/table.py
@@ -1,4 +1,4 @@
-"""Rank the targets of a service for each bucket by weighted rendezvous."""
+"""Rank the targets of a service per bucket by weighted rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from teaseldock import flow
 from teaseldock import inventory
 
-#: Key of the ranking hash; it need not be secret, all must use the same.
+#: Key of the ranking hash; not secret, but the same on every process.
 _RANK_KEY = b'teaseldock-rank1'
 _HASH_RANGE = float(1 << 64)
-#: Marks of a bucket that was not asked for, and of a service without targets.
+#: Markers of an owner not computed yet, and of a service without targets.
 _NOT_COMPUTED = 0xFFFF
 _NO_OWNER = 0xFFFE
 
 
 class TargetId(typing.NamedTuple):
-    """A target: an instance in its part of serving one service."""
+    """Identifier of a target, which is an instance serving one service."""
 
     service: str
     instance: str
 
 
 def service_id(name: str) -> int:
-    """Return the 32-bit number that stands for a service in packets."""
+    """Return the 32-bit number that identifies a service in packets."""
     digest = siphash24.siphash24(name.encode(), key=_RANK_KEY).digest()
     return int.from_bytes(digest[:4], 'big')
 
 
 class ServiceTable:
-    """Rank the targets of one service, bucket by bucket, on first use.
+    """Rank the targets of one service for each bucket.
 
-    The owner of a bucket is computed when it is first asked for and kept in
-    two bytes, so that a table of tens of thousands of services fits beside
-    everything else, and a change costs a process only what it then routes.
+    The owner of a bucket is computed on first use and cached in two bytes.
+    Tables of tens of thousands of services therefore fit into memory, and
+    after a change a process computes only the buckets that it routes.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, service: inventory.Service) -> None:
-        """Compute nothing yet.
+        """Create a table without cached owners.
 
         :param service: one checked entry of the rules.
         """
@@ -82,7 +82,7 @@
         return self._weights
 
     def matches(self, service: inventory.Service) -> bool:
-        """Tell whether this is the table of an entry of the rules."""
+        """Return whether the table was built from the targets of a service."""
         targets = service['targets']
         return self._targets is targets or self._targets == targets
 
@@ -97,12 +97,12 @@
     ) -> str | None:
         """Return the first instance in rank that is not excluded.
 
-        If all are excluded, the first in rank is returned: a view in which
-        nobody is left is more likely wrong than right, and a packet that
-        reaches a leaving agent is still handed on or refused, not lost.
+        If all are excluded, the first in rank is returned: a view without
+        any usable target is more likely wrong than right, and a leaving
+        agent still forwards or refuses a packet, so that it is not lost.
         """
-        concerned = frozenset(n for n in self._names if n in excluded)
-        return self.owner_excluding(bucket, concerned)
+        relevant = frozenset(n for n in self._names if n in excluded)
+        return self.owner_excluding(bucket, relevant)
 
     def owner_excluding(
         self, bucket: int, excluded: frozenset[str]
@@ -110,7 +110,7 @@
         """Return the owner, given the excluded targets of this service.
 
         :param excluded: a subset of this service's instances; the caller
-            keeps it, so that no packet pays for finding it.
+            caches it, so that it is not computed for each packet.
         """
         if self._owners is None or excluded != self._excluded:
             self._owners = (
@@ -124,8 +124,8 @@
         return self._names[index] if index != _NO_OWNER else None
 
     def _compute_owner(self, bucket: int) -> int:
-        able = [n for n in self._names if n not in self._excluded]
-        candidates = able or self._names
+        usable = [n for n in self._names if n not in self._excluded]
+        candidates = usable or self._names
         if not candidates:
             return _NO_OWNER
         best = max(
@@ -136,7 +136,7 @@
     def _score(self, name: str, bucket: int) -> float:
         """Return the rendezvous score, after Thaler and Ravishankar (1998).
 
-        With the logarithm a target wins a bucket with a chance that is
+        With the logarithm, the probability that a target wins a bucket is
         exactly proportional to its weight, and changing one weight moves
         buckets only from or to that target.
         """
@@ -149,27 +149,27 @@
 
 
 class Table:
-    """Map service endpoints to service tables: a function of one inventory.
+    """Map the service endpoints of one inventory to service tables.
 
     Every process that holds the same inventory computes the same table, so
     that balancers agree without exchanging a message. A service's table is
-    made when it is first asked for: an agent needs a few out of thousands.
+    built on first use, because an agent needs a few out of thousands.
     """
 
     def __init__(
         self, contents: inventory.Inventory, previous: Table | None = None
     ) -> None:
-        """Make no service table yet.
+        """Create a table without service tables.
 
-        :param previous: the table that this one replaces; what it has made
-            for services that did not change is taken over.
+        :param previous: the table that this one replaces; its service tables
+            are reused for services that did not change.
         """
         self._contents = contents
         self._service_tables: dict[str, ServiceTable] = {}
         if previous is not None:
             self._service_tables = {
-                name: made
-                for name, made in previous._service_tables.items()
+                name: built
+                for name, built in previous._service_tables.items()
                 if name in contents.services
             }
 
@@ -181,14 +181,14 @@
         entry = self._contents.services.get(name)
         if entry is None:
             return None
-        made = self._service_tables.get(name)
-        if made is None or not made.matches(entry):
-            made = ServiceTable(entry)
-            self._service_tables[name] = made
-        return made
+        built = self._service_tables.get(name)
+        if built is None or not built.matches(entry):
+            built = ServiceTable(entry)
+            self._service_tables[name] = built
+        return built
 
     def service_at(self, endpoint: bytes) -> ServiceTable | None:
-        """Return the service at a packed endpoint, or None."""
+        """Return the table of the service at a packed endpoint, or None."""
         one, two, three, four = endpoint[:4]
         host = f'{one}.{two}.{three}.{four}'
         port = int.from_bytes(endpoint[4:], 'big')
--- a/packages/teaseldock/teaseldock/view.py
+++ b/packages/teaseldock/teaseldock/view.py
@@ -1,4 +1,4 @@
-"""Join configuration and membership into one view that routing reads."""
+"""Combine configuration and membership into one view for routing."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class View:
-    """Answer who owns a bucket, who may get new work, and where they are."""
+    """Provide owners of buckets, excluded instances and agents' endpoints."""
 
     def __init__(
         self,
@@ -26,10 +26,10 @@
         config: configuration.Configuration,
         members: membership.Membership,
     ) -> None:
-        """Read both sources for the first time.
+        """Create a view of the current state of both sources.
 
-        :param config: what operators publish.
-        :param members: which processes live.
+        :param config: documents that operators published.
+        :param members: state of the processes.
         """
         self._config = config
         self._members = members
@@ -59,23 +59,23 @@
 
     @property
     def version(self) -> int:
-        """Return a number that rises whenever an answer may change."""
+        """Return a number that rises with each change of the view."""
         return self._version
 
     @property
     def excluded(self) -> frozenset[str]:
-        """Return the instances that get no new work."""
+        """Return the instances that get no new flows or requests."""
         return self._excluded
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether this process has said that it is about to end."""
+        """Return whether this process has announced that it is leaving."""
         return self._members.own.leaving
 
     def refresh(self) -> bool:
-        """Take over changes of the sources.
+        """Apply changes of configuration and membership.
 
-        :returns: whether an answer may have changed.
+        :returns: whether the view may have changed.
         """
         current = self._config.inventory
         if (
@@ -97,27 +97,27 @@
         return True
 
     def is_dead(self, name: str) -> bool:
-        """Tell whether an instance's agent is believed dead."""
+        """Return whether an instance's agent is considered dead."""
         return name in self._dead
 
     @property
     def dead_count(self) -> int:
-        """Return how many instances' agents are believed dead."""
+        """Return the number of instances whose agents are considered dead."""
         return len(self._dead)
 
     def owner(self, service: table.ServiceTable, bucket: int) -> str | None:
-        """Return the instance whose agent decides about a bucket."""
-        concerned = self._excluded_targets.get(service.name)
-        if concerned is None:
-            # Most services lose nobody: they share the one empty set.
-            concerned = (
+        """Return the instance whose agent owns a bucket."""
+        excluded = self._excluded_targets.get(service.name)
+        if excluded is None:
+            # Most services have no excluded target and share one empty set.
+            excluded = (
                 self._excluded.intersection(service.weights) or _NO_TARGETS
             )
-            self._excluded_targets[service.name] = concerned
-        return service.owner_excluding(bucket, concerned)
+            self._excluded_targets[service.name] = excluded
+        return service.owner_excluding(bucket, excluded)
 
     def endpoint(self, name: str) -> flow.Endpoint | None:
-        """Return where the agent of an instance listens."""
+        """Return the endpoint of an instance's agent, or None."""
         instance = self._config.inventory.instances.get(name)
         if instance is not None:
             return inventory.peer_endpoint(instance)
@@ -127,9 +127,9 @@
         return None
 
     def peers(self, service: table.ServiceTable) -> list[str]:
-        """Return the living instances of a service, oneself not among them.
+        """Return the living instances of a service except this one.
 
-        Leaving ones are included: they still hold flows.
+        Leaving ones are included, as they still hold flows.
         """
         own = self._members.own.name
         return [
@@ -139,7 +139,7 @@
         ]
 
     def incarnation(self, name: str) -> int:
-        """Return the incarnation last heard of, or 0."""
+        """Return the last known incarnation of a member, or 0."""
         member = self._members.roster.get(name)
         return member.incarnation if member else 0
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Test that packets reach their own service or none."""
+"""Test that packets reach the addressed service or are dropped."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 def test_a_reused_address_never_reaches_the_former_service(
     small: world.World,
 ) -> None:
-    """An address given to another service brings nobody to the old one.
+    """Packets to a reassigned address never reach its former service.
 
-    Symptom: a pour order lands at ticket intake. Sequence: the two services
-    change addresses in one revision, while one balancer and one agent are
-    frozen with the old rules. Cause to guard against: either of them alone
-    taking the old table for true.
+    Guards against requests of one service that are run by another. Two
+    services exchange addresses in one revision, while one balancer and one
+    agent are paused with the old rules. It happens if either of them routes
+    by the old table after its pause.
     """
     small.pause('balancer-1', 20.0)
     small.pause('dispatch-1', 20.0)
@@ -39,17 +39,17 @@
 
 
 def test_unknown_service_is_dropped_and_counted(small: world.World) -> None:
-    """A packet to an address nobody serves goes nowhere."""
+    """A packet to an address without a service is dropped."""
     node = small.processes['balancer-1'].node
-    stranger = world.flow.flow_key(
+    unknown = world.flow.flow_key(
         world.flow.Endpoint('10.8.0.1', 5), world.flow.Endpoint('10.9.9.9', 5)
     )
-    assert node.router.route(stranger) is None
+    assert node.router.route(unknown) is None
     assert node.router.dropped['unknown_service'] == 1
 
 
 def test_agent_drops_what_is_for_another_service(small: world.World) -> None:
-    """The agent compares the packet's service with its own."""
+    """The agent drops a packet whose service does not match its flow key."""
     node = small.processes['dispatch-1'].node
     caller = small.add_caller('tickets')
     number = node.find('dispatch').service.number
@@ -59,11 +59,12 @@
 
 
 def test_an_unproved_address_gets_no_answer(small: world.World) -> None:
-    """Requests under a forged address bring a challenge and nothing more.
+    """Requests from a forged address are answered only by a challenge.
 
-    Symptom: a victim that never asked gets feeds for hours. Sequence: someone
-    registers for a feed under the victim's address. Cause to guard against:
-    answering, and observing, before the caller has proved its address.
+    Guards against an uninvolved process that gets notifications for hours,
+    because an attacker registers for a feed under its address. It happens if
+    a request is answered or observed before the caller has proved its
+    address.
     """
     victim = small.add_caller('dispatch')
     received: list[bytes] = []
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -47,12 +47,12 @@
 
 
 def test_order_of_rules_is_no_matter() -> None:
-    """Two processes that read targets in another order agree."""
+    """Two processes that read the targets in different orders agree."""
     one = service(dict.fromkeys('pqrst', 1.0))
     two = service(dict.fromkeys('tsrqp', 1.0))
     assert owners(one) == owners(two)
 
 
 def test_all_excluded_still_names_one() -> None:
-    """With nobody left the packet goes to the first in rank."""
+    """If all targets are excluded, the owner is the first in rank."""
     assert service({'x': 1.0}).owner(0, {'x'}) == 'x'
