--- a/packages/teaseldock/teaseldock/codecs/__init__.py
+++ b/packages/teaseldock/teaseldock/codecs/__init__.py
@@ -1,3 +1,3 @@
-"""Read and write the datagrams of callers and backend servers."""
+"""Decode and encode the datagrams of callers and backend servers."""
 
 from __future__ import annotations
--- a/packages/teaseldock/teaseldock/codecs/base.py
+++ b/packages/teaseldock/teaseldock/codecs/base.py
@@ -1,4 +1,4 @@
-"""Define what the decisions need to know of a caller's protocol."""
+"""Define the interface between the decisions and a caller's protocol."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Refusal(enum.Enum):
-    """Why a request gets no answer of the server."""
+    """Reason why a request gets no answer of a server."""
 
-    #: No server was given the request; it may be sent again.
+    #: No server was given the request; the caller may send it again.
     NOT_RUN = 'not run'
-    #: A server may have run the request; only the caller can find out.
+    #: A server may have run the request; only the caller can find that out.
     OUTCOME_UNKNOWN = 'outcome unknown'
 
 
 class Request(typing.NamedTuple):
     """A caller's request.
 
-    :ivar exchange: equal for repeats of one message on one flow.
-    :ivar token: names the answer at the caller.
-    :ivar segment: first segment of the path, for the rules' classes.
+    :ivar exchange: identifies a message on its flow; retransmissions keep it.
+    :ivar token: identifies the answer at the caller.
+    :ivar segment: first path segment, for the request classes of the rules.
     :ivar echo: challenge that the request answers, or empty.
     :ivar observe: 0 begins a feed, 1 ends it, None is neither.
     :ivar pinned: part of a transfer that must stay at one server.
-    :ivar deadline_s: seconds for which an answer is of use, or None.
+    :ivar deadline_s: seconds after which an answer is of no use, or None.
     :ivar body: the whole datagram.
     """
 
@@ -42,10 +42,10 @@
 
 
 class AckOrReset(typing.NamedTuple):
-    """A caller's datagram that is no request.
+    """A caller's acknowledgement or reset.
 
     :ivar message_id: identifier of the datagram that it answers.
-    :ivar reset: whether the caller rejects what it was sent.
+    :ivar reset: whether the caller rejects that datagram.
     """
 
     message_id: int
@@ -55,10 +55,10 @@
 class ServerReply(typing.NamedTuple):
     """A server's datagram.
 
-    :ivar call: number that the request was sent under, or None.
-    :ivar observe: sequence if the answer belongs to a feed, or None.
+    :ivar call: call number of the request, or None.
+    :ivar observe: Observe number if the answer belongs to a feed, or None.
     :ivar shed: whether the server refused to run the request.
-    :ivar acknowledge: what to send back to the server, or empty.
+    :ivar acknowledge: datagram to send back to the server, or empty.
     :ivar body: the whole datagram.
     """
 
@@ -70,38 +70,40 @@
 
 
 class Codec(abc.ABC):
-    """Translate datagrams; pure functions, without state of any flow."""
+    """Decode and encode datagrams; pure functions, without state per flow."""
 
     @abc.abstractmethod
     def read_caller(self, payload: bytes) -> Request | AckOrReset:
-        """Read a caller's datagram.
+        """Decode a caller's datagram.
 
-        :raises MessageError: if it can't be read.
+        :raises MessageError: if it can't be decoded.
         """
 
     @abc.abstractmethod
     def for_server(self, body: bytes, *, call: int, flow: bytes) -> bytes:
-        """Return a caller's request as it goes to a server.
+        """Encode a caller's request for a server.
 
-        :param flow: keeps transfers in parts of different callers apart.
+        :param call: number that identifies the request in the answer.
+        :param flow: flow key; separates the block-wise transfers of different
+            callers.
         """
 
     @abc.abstractmethod
     def cancel_feed(self, body: bytes, *, call: int) -> bytes:
-        """Return the request that ends a feed at the server."""
+        """Encode the request that ends a feed at the server."""
 
     @abc.abstractmethod
     def read_server(self, payload: bytes) -> ServerReply:
-        """Read a server's datagram.
+        """Decode a server's datagram.
 
-        :raises MessageError: if it can't be read.
+        :raises MessageError: if it can't be decoded.
         """
 
     @abc.abstractmethod
     def answer(
         self, request: Request, body: bytes, *, sequence: int | None
     ) -> bytes:
-        """Return a server's answer as it goes to the caller.
+        """Encode a server's answer for the caller.
 
         :param sequence: Observe number if the answer begins a feed.
         """
@@ -110,14 +112,20 @@
     def notification(
         self, request: Request, body: bytes, *, sequence: int, message_id: int
     ) -> bytes:
-        """Return a server's notification as it goes to the caller."""
+        """Encode a server's notification for the caller."""
 
     @abc.abstractmethod
     def challenge(self, request: Request, value: bytes) -> bytes:
-        """Return the answer that asks for the request with a challenge."""
+        """Encode an answer that asks to repeat the request with a challenge.
+
+        :param value: challenge, which the repeated request must contain.
+        """
 
     @abc.abstractmethod
     def refusal(
         self, request: Request, reason: Refusal, *, retry_after_s: int
     ) -> bytes:
-        """Return a final answer for a request that is given up."""
+        """Encode the final answer to a request that is refused.
+
+        :param retry_after_s: seconds after which the caller may try again.
+        """
--- a/packages/teaseldock/teaseldock/codecs/coap.py
+++ b/packages/teaseldock/teaseldock/codecs/coap.py
@@ -1,8 +1,8 @@
-"""Translate CoAP (RFC 7252, 7641, 7959, 9175) through the aiocoap library.
+"""Decode and encode CoAP (RFC 7252, 7641, 7959, 9175) with aiocoap.
 
-Towards callers each answer is piggybacked on the acknowledgement. Towards the
-server, requests are non-confirmable: the server is on the same instance, and a
-lost datagram shows as an answer that doesn't come.
+Answers to callers are piggybacked on the acknowledgement. Requests to the
+server are non-confirmable: the server is on the same instance, and the loss of
+a datagram is detected by the missing answer.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from teaseldock.codecs import base
 from teaseldock import exceptions
 
-#: Methods that a server may run again without harm (RFC 7252 section 5.1).
+#: Methods that may safely run more than once (RFC 7252 section 5.1).
 IDEMPOTENT_METHODS = frozenset({'GET', 'PUT', 'DELETE', 'FETCH', 'IPATCH'})
 _DEADLINE_QUERY = 'deadline_ms='
 _CALL_BYTES = 8
@@ -31,7 +31,7 @@
     except (coap_error.UnparsableMessage, ValueError, IndexError) as error:
         raise _message_error(repr(error)) from error
     except Exception as error:
-        # Options with broken contents raise errors of many other kinds.
+        # Malformed options raise errors of many other kinds.
         raise _message_error(repr(error)) from error
 
 
@@ -64,14 +64,15 @@
 
 
 class CoapCodec(base.Codec):
-    """Read and write CoAP messages.
+    """Decode and encode CoAP messages.
 
-    The message read last is kept for the call that usually follows and writes
-    it in another form; decoding it again would cost a quarter of a request.
+    The message decoded last is cached, as the next call usually encodes it in
+    another form. Decoding it again would take a quarter of the time of a
+    request.
     """
 
     def __init__(self) -> None:
-        """Keep nothing yet."""
+        """Create a codec with an empty cache."""
         self._last_read: tuple[bytes, aiocoap.Message] | None = None
 
     def _read(self, payload: bytes) -> aiocoap.Message:
@@ -80,7 +81,7 @@
         return message
 
     def _outgoing_message(self, payload: bytes) -> aiocoap.Message:
-        """Return a received message as one that may be changed and sent."""
+        """Return a received message in a form that can be changed and sent."""
         last, self._last_read = self._last_read, None
         if last is not None and last[0] is payload:
             message = last[1]
@@ -90,7 +91,7 @@
         return message
 
     def read_caller(self, payload: bytes) -> base.Request | base.AckOrReset:
-        """Read a request, an acknowledgement or a reset."""
+        """Decode a request, an acknowledgement or a reset."""
         message = self._read(payload)
         if message.mtype in (aiocoap.ACK, aiocoap.RST):
             return base.AckOrReset(message.mid, message.mtype == aiocoap.RST)
@@ -113,15 +114,15 @@
         )
 
     def for_server(self, body: bytes, *, call: int, flow: bytes) -> bytes:
-        """Return the request under the call's number, without its Echo.
+        """Encode the request with the call number as token, without Echo.
 
-        The token is the call's number, never used twice, so that an answer
-        which comes late or crossed can't be taken for another request's.
+        Call numbers are never reused, so that a late or reordered answer is
+        not matched with another request.
 
-        All callers reach the server from this agent's address. Blocks of two
-        uploads to one path would be joined into one there, which shows as
-        5.00 or as an answer to the wrong scan; a Request-Tag of the flow
-        keeps them apart (RFC 9175 section 3).
+        All requests reach the server from this agent's address. The server
+        would join the blocks of two uploads to one path, which shows as 5.00
+        or as the answer to another upload. A Request-Tag derived from the
+        flow key separates them (RFC 9175 section 3).
         """
         message = self._outgoing_message(body)
         message.opt.echo = None
@@ -131,7 +132,7 @@
         return self._encode_for_server(message, call)
 
     def cancel_feed(self, body: bytes, *, call: int) -> bytes:
-        """Return the registration again, with Observe 1."""
+        """Encode the registration again, with Observe 1."""
         message = self._outgoing_message(body)
         message.opt.observe = 1
         return self._encode_for_server(message, call)
@@ -143,7 +144,7 @@
         return message.encode()
 
     def read_server(self, payload: bytes) -> base.ServerReply:
-        """Read an answer or a notification."""
+        """Decode an answer or a notification."""
         message = self._read(payload)
         acknowledge = b''
         if message.mtype == aiocoap.CON:
@@ -168,7 +169,7 @@
     def answer(
         self, request: base.Request, body: bytes, *, sequence: int | None
     ) -> bytes:
-        """Return the server's answer under the caller's token."""
+        """Encode the server's answer with the caller's token."""
         message = self._outgoing_message(body)
         message.opt.observe = sequence
         return _reply_to(request, message)
@@ -181,7 +182,10 @@
         sequence: int,
         message_id: int,
     ) -> bytes:
-        """Return a notification; the next one makes up for a lost one."""
+        """Encode a notification; it is non-confirmable.
+
+        A lost notification is superseded by the next one.
+        """
         message = self._outgoing_message(body)
         message.opt.observe = sequence
         message.mtype = aiocoap.NON
@@ -190,7 +194,7 @@
         return message.encode()
 
     def challenge(self, request: base.Request, value: bytes) -> bytes:
-        """Return 4.01 with an Echo, as in RFC 9175 section 2.3."""
+        """Encode 4.01 with an Echo, as in RFC 9175 section 2.3."""
         message = aiocoap.Message(code=aiocoap.UNAUTHORIZED)
         message.opt.echo = value
         return _reply_to(request, message)
@@ -202,7 +206,7 @@
         *,
         retry_after_s: int,
     ) -> bytes:
-        """Return 5.03 with Max-Age for "not run", else 5.04."""
+        """Encode 5.03 with Max-Age for "not run", else 5.04."""
         code = aiocoap.SERVICE_UNAVAILABLE
         if reason is base.Refusal.OUTCOME_UNKNOWN:
             code = aiocoap.GATEWAY_TIMEOUT
--- a/packages/teaseldock/teaseldock/exceptions.py
+++ b/packages/teaseldock/teaseldock/exceptions.py
@@ -48,7 +48,7 @@
 
 
 class RevisionError(TeaseldockError):
-    """A document came with a revision that must not be taken."""
+    """A document has a revision that must not be accepted."""
 
     code = 'TD-203'
     exit_code = 6
@@ -79,7 +79,7 @@
 
 
 class StartError(TeaseldockError):
-    """A program cannot take its address."""
+    """A program cannot bind its address."""
 
     code = 'TD-401'
     exit_code = 7
--- a/packages/teaseldock/teaseldock/flow.py
+++ b/packages/teaseldock/teaseldock/flow.py
@@ -1,4 +1,4 @@
-"""Name flows, addresses and the buckets that flows are spread over."""
+"""Define flow keys, endpoints, and the buckets that flows are hashed to."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import siphash24
 
-#: Buckets of each service; a power of two, so that a byte names one.
+#: Buckets of each service; one byte identifies a bucket.
 BUCKET_COUNT = 256
 #: Bytes of a flow key: two IPv4 addresses and two ports, network order.
 FLOW_KEY_BYTES = 12
@@ -29,10 +29,10 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Read ``host:port``.
+    """Parse ``host:port``.
 
-    :raises ValueError: if the host is no IPv4 address or the port is out of
-        range.
+    :raises ValueError: if the host is not an IPv4 address or the port is out
+        of range.
     """
     host, _, port_text = text.rpartition(':')
     ipaddress.IPv4Address(host)
@@ -69,8 +69,8 @@
 def bucket_of(flow: bytes, *, key: bytes) -> int:
     """Return the bucket of a flow.
 
-    The hash is keyed, so that a caller who doesn't know the key can't aim
-    all of its flows at one bucket.
+    The hash is keyed, so that a caller without the key can't direct all of
+    its flows to one bucket.
 
     :param key: :data:`HASH_KEY_BYTES` bytes, the same on every process.
     """
@@ -78,7 +78,7 @@
 
 
 def pack_buckets(buckets: typing.Iterable[int]) -> bytes:
-    """Return a set of buckets as one bit each."""
+    """Encode a set of buckets with one bit for each bucket."""
     bits = 0
     for bucket in buckets:
         bits |= 1 << bucket
@@ -86,6 +86,6 @@
 
 
 def unpack_buckets(packed: bytes) -> list[int]:
-    """Return the buckets within :func:`pack_buckets` bytes."""
+    """Decode the buckets that :func:`pack_buckets` encoded."""
     bits = int.from_bytes(packed, 'little')
     return [bucket for bucket in range(BUCKET_COUNT) if bits >> bucket & 1]
--- a/packages/teaseldock/teaseldock/idl/teaseldock.thrift
+++ b/packages/teaseldock/teaseldock/idl/teaseldock.thrift
@@ -1,5 +1,5 @@
 // Messages between processes of teaseldock; see teaseldock/messages.py.
-// Fields are only ever added, with new numbers, so that two versions can talk.
+// Fields are only added, with new numbers, so that two versions interoperate.
 
 struct Member {
   1: string name
--- a/packages/teaseldock/teaseldock/messages.py
+++ b/packages/teaseldock/teaseldock/messages.py
@@ -1,4 +1,4 @@
-"""Define the typed messages between processes, and the actions of decisions.
+"""Define the messages between processes and the actions of decisions.
 
 Each message is a ``NamedTuple`` with a struct of the same name and fields in
 ``idl/teaseldock.thrift``; :mod:`teaseldock.wire` translates by name.
@@ -13,7 +13,7 @@
 
 
 class Health(enum.IntEnum):
-    """What is believed of a member; a larger value wins within a counter."""
+    """Health of a member; with equal counters the larger value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,18 +27,18 @@
     ANSWERED = 0
     #: The request was not given to a server.
     NOT_RUN = 1
-    #: The request was given to a server and no answer is known.
+    #: The request was given to a server, but no answer is known.
     UNKNOWN = 2
 
 
 class Member(typing.NamedTuple):
-    """A process of the system as others know it.
+    """A process, as described in messages.
 
     :ivar name: instance name from the process's settings.
     :ivar role: ``balancer`` or ``agent``.
     :ivar incarnation: milliseconds since 1970 at its start.
-    :ivar counter: raised by the member itself to deny a rumour.
-    :ivar leaving: never taken back within an incarnation.
+    :ivar counter: raised by the member itself to refute a rumour.
+    :ivar leaving: never reset within an incarnation.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
 
 class Ping(typing.NamedTuple):
-    """Heartbeat; ``joining`` asks for every unusual member at once."""
+    """Heartbeat; ``joining`` asks for all leaving and dead members."""
 
     sequence: int
     sender: Member
@@ -82,7 +82,7 @@
 
 
 class Vouch(typing.NamedTuple):
-    """Tell that ``subject`` answered a probe made on request."""
+    """Report that ``subject`` answered a probe made on request."""
 
     sequence: int
     sender: Member
@@ -125,11 +125,12 @@
 
 
 class Announce(typing.NamedTuple):
-    """Tell a bucket's owner which flows the sender holds.
+    """Announce flows that the sender holds to the owner of their buckets.
 
-    :ivar complete: bit for each bucket of which the receiver now knows all
-        flows that the sender holds; empty if more batches follow.
-    :ivar taken_over: whether former holders gave these flows to the sender.
+    :ivar complete: one bit for each bucket, set if the sender has announced
+        all flows of the bucket that it holds; empty if more batches follow.
+    :ivar taken_over: whether former holders transferred these flows to the
+        sender.
     """
 
     sender: str
@@ -141,7 +142,7 @@
 
 
 class Announced(typing.NamedTuple):
-    """Acknowledge a batch; ``elsewhere`` are flows another target holds."""
+    """Acknowledge a batch; other targets hold the flows of ``elsewhere``."""
 
     sender: str
     service_number: int
@@ -150,13 +151,15 @@
 
 
 class Execute(typing.NamedTuple):
-    """Hand a request on to run at the receiver's server.
-
-    :ivar call: unique within the sender's incarnation; repeats keep it.
-    :ivar sender_incarnation: completes the call's identity.
-    :ivar receiver_incarnation: the only one that may run it.
-    :ivar deadline_ms: time left, or 0 for none.
-    :ivar reports: loads that the sender knows, its own first.
+    """Forward a request, to be run by the receiver's server.
+
+    :ivar call: unique within the sender's incarnation; retransmissions keep
+        it.
+    :ivar sender_incarnation: identifies the call together with ``call``.
+    :ivar receiver_incarnation: the only incarnation of the receiver that may
+        run the request.
+    :ivar deadline_ms: milliseconds left, or 0 without a deadline.
+    :ivar reports: load reports known to the sender, its own first.
     """
 
     sender: str
@@ -183,10 +186,10 @@
 
 
 class Claim(typing.NamedTuple):
-    """Ask whether a request that was handed on may run now.
+    """Ask whether a forwarded request may run now.
 
     :ivar call: as in :class:`Execute`.
-    :ivar incarnation: of the process that handed it on.
+    :ivar incarnation: of the process that forwarded it.
     """
 
     sender: str
@@ -209,7 +212,7 @@
 
 
 class Feed(typing.NamedTuple):
-    """An observation that outlives its holder.
+    """An observation that is transferred to another holder.
 
     :ivar request: the caller's registration, as it was sent.
     :ivar sequence: last Observe number sent to the caller.
@@ -220,9 +223,9 @@
 
 
 class Result(typing.NamedTuple):
-    """An answer that a caller may ask for again.
+    """A cached answer to a request that the caller may retransmit.
 
-    :ivar request: the caller's datagram; names the exchange.
+    :ivar request: the caller's datagram; identifies the exchange.
     :ivar answer: the datagram that was sent to the caller.
     """
 
@@ -231,7 +234,7 @@
 
 
 class Transfer(typing.NamedTuple):
-    """Make the receiver the holder of a flow that the sender gives up."""
+    """Make the receiver the holder of a flow that the sender releases."""
 
     sender: str
     service_number: int
@@ -249,7 +252,7 @@
 
 
 class StoredDocument(typing.NamedTuple):
-    """A configuration document on its way between processes."""
+    """A configuration document, as sent between processes."""
 
     key: str
     revision: int
@@ -258,9 +261,10 @@
 
 
 class Documents(typing.NamedTuple):
-    """What the sender holds: texts in an answer, short hashes in a question.
+    """Documents that the sender holds.
 
-    A question names what the asker has; the answer brings what it lacks.
+    A request lists them with short hashes as contents. The answer has the
+    documents that the requester lacks, with their full contents.
     """
 
     documents: list[StoredDocument]
@@ -292,8 +296,8 @@
 class ToServer(typing.NamedTuple):
     """Action: send a request to the server of a service on this instance.
 
-    :ivar call: names the answer; never reused within an incarnation.
-    :ivar flow: flow key, or empty for a request that another agent handed on.
+    :ivar call: identifies the answer; never reused within an incarnation.
+    :ivar flow: flow key, or empty for a request forwarded by another agent.
     """
 
     service: str
--- a/packages/teaseldock/teaseldock/proxy_header.py
+++ b/packages/teaseldock/teaseldock/proxy_header.py
@@ -1,13 +1,13 @@
-"""Pack and read PROXY protocol version 2 headers of datagrams.
+"""Encode and decode PROXY protocol version 2 headers of datagrams.
 
 The format is published ("The PROXY protocol", versions 1 and 2, section 2.2).
-Only its fixed IPv4/DGRAM form is used, read at fixed offsets because the
-library on PyPI costs more than the rest of a balancer's work for a packet;
-the tests hold this module against that library.
+Only the IPv4/DGRAM form is supported. It is decoded at fixed offsets, because
+the library on PyPI takes longer than the rest of a balancer's work for a
+packet. The tests compare this module with that library.
 
-Between processes one TLV of the range that the format sets aside for
-applications follows, with what the receiver must know, and a tag over the
-whole datagram.
+Between processes, the header has one TLV of the types that the format
+reserves for applications. It carries the metadata for the receiver and a tag
+over the whole datagram.
 """
 
 from __future__ import annotations
@@ -42,27 +42,28 @@
 
 
 class Role(enum.IntEnum):
-    """In which role the receiver of a packet is addressed."""
+    """Role in which the receiver of a packet is addressed."""
 
-    #: Decide where the flow is or goes.
+    #: The receiver owns the bucket and finds or places the flow.
     OWNER = 0
-    #: The sender's directory says that the receiver holds the flow.
+    #: The receiver holds the flow according to the sender's directory.
     HOLDER = 1
     #: The sender has placed this new flow at the receiver.
     PLACED = 2
     #: The packet carries a challenge that the receiver issued.
     CHALLENGER = 3
-    #: The sender was taken for the flow's holder and isn't.
+    #: The sender received the packet as the flow's holder but isn't.
     RETURNED = 4
 
 
 class Packet(typing.NamedTuple):
-    """A caller's datagram on its way between processes.
+    """A caller's datagram, as sent between processes.
 
     :ivar flow: flow key, see :mod:`teaseldock.flow`.
-    :ivar service: number of the service that the sender takes it to be for.
+    :ivar service: number of the service, as determined by the sender.
     :ivar generation: configuration revision of the sender.
-    :ivar hops: how often agents handed it on.
+    :ivar role: a :class:`Role`.
+    :ivar hops: number of times that agents have forwarded it.
     """
 
     flow: bytes
@@ -74,7 +75,7 @@
 
 
 def pack_plain(flow_key: bytes, payload: bytes) -> bytes:
-    """Return a datagram between the fabric and the system."""
+    """Encode a datagram exchanged with the fabric."""
     return _PLAIN_START + flow_key + payload
 
 
@@ -82,7 +83,7 @@
     """Return flow key and payload of a datagram from the fabric.
 
     :raises HeaderError: for anything but an IPv4/DGRAM header without TLVs.
-        A TLV of ours from outside would be a caller posing as a balancer.
+        With an internal TLV, a caller could pose as a balancer.
     """
     if datagram.startswith(_PLAIN_START) and len(datagram) >= HEADER_BYTES:
         return datagram[16:HEADER_BYTES], datagram[HEADER_BYTES:]
@@ -92,7 +93,9 @@
 def _header_error(datagram: bytes) -> exceptions.HeaderError:
     if len(datagram) < HEADER_BYTES:
         return exceptions.HeaderError(
-            'short', f'{len(datagram)} bytes', remedy='check the fabric'
+            'short',
+            f'{len(datagram)} bytes are no complete header',
+            remedy='check the fabric',
         )
     if not datagram.startswith(SIGNATURE):
         return exceptions.HeaderError(
@@ -102,7 +105,7 @@
         return exceptions.HeaderError(
             'version',
             f'version and command {datagram[12]:#x}',
-            remedy='send version 2 with PROXY',
+            remedy='send version 2 with the command PROXY',
         )
     if datagram[13] != _IPV4_DGRAM:
         return exceptions.HeaderError(
@@ -116,12 +119,12 @@
 
 
 def is_header(datagram: bytes) -> bool:
-    """Tell whether a datagram starts as a PROXY header does."""
+    """Return whether a datagram starts with the PROXY signature."""
     return datagram.startswith(SIGNATURE)
 
 
 def internal_prefix(packet: Packet) -> bytes:
-    """Return the TLV of a packet, without its tag."""
+    """Encode the TLV of a packet, without its tag."""
     return _INTERNAL.pack(
         INTERNAL_TYPE,
         _INTERNAL_VALUE_BYTES,
@@ -133,9 +136,9 @@
 
 
 def seal(flow_key: bytes, tlv: bytes, payload: bytes, *, key: bytes) -> bytes:
-    """Return a datagram between processes.
+    """Encode a datagram between processes and add its tag.
 
-    :param tlv: from :func:`internal_prefix`; a sender keeps it for reuse.
+    :param tlv: from :func:`internal_prefix`; a sender may cache it.
     """
     head = _INTERNAL_START + flow_key + tlv
     tag = hashlib.blake2b(
@@ -145,32 +148,34 @@
 
 
 def pack_internal(packet: Packet, *, key: bytes) -> bytes:
-    """Return a packet as a datagram between processes."""
+    """Encode a packet as a datagram between processes."""
     return seal(packet.flow, internal_prefix(packet), packet.payload, key=key)
 
 
 def read_internal(datagram: bytes, *, keys: typing.Sequence[bytes]) -> Packet:
-    """Return the packet within a datagram between processes.
+    """Verify and decode a datagram between processes.
 
-    :param keys: the keys in use, the newest first; two during a change.
-    :raises HeaderError: if the form is wrong.
-    :raises SealError: if no key fits the tag.
+    :param keys: the keys in use, the newest first; two during a key rotation.
+    :raises HeaderError: if the header is malformed.
+    :raises SealError: if the tag matches none of the keys.
     """
     if (
         not datagram.startswith(_INTERNAL_START)
         or len(datagram) < INTERNAL_HEADER_BYTES
     ):
         raise _header_error(datagram)
-    given = datagram[_TAG_START:INTERNAL_HEADER_BYTES]
+    received = datagram[_TAG_START:INTERNAL_HEADER_BYTES]
     payload = datagram[INTERNAL_HEADER_BYTES:]
-    covered = datagram[:_TAG_START] + payload
+    authenticated = datagram[:_TAG_START] + payload
     for key in keys:
-        tag = hashlib.blake2b(covered, key=key, digest_size=_TAG_BYTES)
-        if hmac.compare_digest(given, tag.digest()):
+        tag = hashlib.blake2b(authenticated, key=key, digest_size=_TAG_BYTES)
+        if hmac.compare_digest(received, tag.digest()):
             break
     else:
         raise exceptions.SealError(
-            'packet', 'no key fits', remedy='give all processes one key'
+            'packet',
+            'the tag matches no key',
+            remedy='configure the same key on all processes',
         )
     kind, _, service, generation, role, hops = _INTERNAL.unpack_from(
         datagram, HEADER_BYTES
--- a/packages/teaseldock/teaseldock/wire.py
+++ b/packages/teaseldock/teaseldock/wire.py
@@ -1,4 +1,4 @@
-"""Translate messages between processes to and from sealed thrift bytes."""
+"""Encode and decode messages between processes as authenticated Thrift."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def pack(message: typing.NamedTuple, *, key: bytes) -> bytes:
-    """Return a message as bytes, with its tag first.
+    """Encode a message, preceded by its authentication tag.
 
     The tag is keyed BLAKE2b (RFC 7693), the standard library's fastest
     keyed hash for short messages.
@@ -75,24 +75,26 @@
 def unpack(
     datagram: bytes, *, keys: typing.Sequence[bytes]
 ) -> typing.NamedTuple:
-    """Return the message within bytes from a peer.
+    """Verify and decode a datagram of a peer.
 
-    :param keys: the keys in use; two of them while a key is changed.
-    :raises SealError: if no key fits.
-    :raises MessageError: if a sender with the right key sent nonsense.
+    :param keys: the keys in use; two of them during a key rotation.
+    :raises SealError: if the tag matches none of the keys.
+    :raises MessageError: if an authenticated message can't be decoded.
     """
-    given = datagram[:_TAG_BYTES]
+    received = datagram[:_TAG_BYTES]
     body = datagram[_TAG_BYTES:]
-    if not any(hmac.compare_digest(given, _tag(body, key)) for key in keys):
+    if not any(hmac.compare_digest(received, _tag(body, key)) for key in keys):
         raise exceptions.SealError(
-            'message', 'no key fits', remedy='give all processes one key'
+            'message',
+            'the tag matches no key',
+            remedy='configure the same key on all processes',
         )
     try:
         envelope = deserialize(
             _IDL.PeerMessage(), body, proto_factory=_PROTOCOL
         )
     except Exception as error:
-        # The codec raises many kinds of errors for broken input.
+        # The Thrift codec raises many kinds of errors for malformed input.
         raise exceptions.MessageError(
             'message', repr(error), remedy='update the sender'
         ) from error
@@ -101,5 +103,5 @@
         if value is not None:
             return _from_thrift(value)
     raise exceptions.MessageError(
-        'message', 'the kind is not known', remedy='update this process'
+        'message', 'unknown message kind', remedy='update this process'
     )
--- a/tests/codecs/test_coap.py
+++ b/tests/codecs/test_coap.py
@@ -27,12 +27,12 @@
 
 
 def decoded(payload: bytes) -> aiocoap.Message:
-    """Return a message as a caller or server reads it."""
+    """Return a message as a caller or server decodes it."""
     return aiocoap.Message.decode(payload)
 
 
 def test_reads_what_decisions_need() -> None:
-    """Method, path, Echo, Observe and deadline are found."""
+    """Method, path, Echo, Observe and deadline are decoded."""
     read = CODEC.read_caller(
         request(
             uri_path=('orders', '9'), echo=b'e', uri_query=('deadline_ms=250',)
@@ -47,7 +47,7 @@
 
 
 def test_server_gets_call_and_no_echo() -> None:
-    """The call's number is the token; the challenge stays here."""
+    """The call number is the token; the Echo option is removed."""
     sent = decoded(
         CODEC.for_server(request(echo=b'e'), call=513, flow=b'f' * 12)
     )
@@ -57,11 +57,12 @@
 
 
 def test_uploads_of_two_callers_stay_apart() -> None:
-    """Blocks of two flows carry different Request-Tags.
+    """Blocks of two flows have different Request-Tags.
 
-    Symptom: scans end in 5.00 or get another scan's answer. Sequence: two
-    callers upload to one path at once, in blocks, to one server. Cause: both
-    come from the agent's address, so the server joins their blocks.
+    Guards against uploads that end in 5.00 or get another upload's answer.
+    Two callers upload in blocks to one path of one server at the same time.
+    Both uploads come from the agent's address, so the server would join their
+    blocks.
     """
     block = (0, True, 6)
     first, second = (
@@ -109,19 +110,19 @@
 
 
 def test_no_amplification_before_the_address_is_proved() -> None:
-    """The challenge to an unproved address is hardly larger than asked.
+    """The challenge to an unproved address is not much larger than a request.
 
-    RFC 9175 section 2.4 allows three times the request.
+    RFC 9175 section 2.4 allows three times the size of the request.
     """
-    asked = request(uri_path=('orders',))
-    read = CODEC.read_caller(asked)
+    sent = request(uri_path=('orders',))
+    read = CODEC.read_caller(sent)
     answer = CODEC.challenge(read, b'e' * 32)
-    assert len(answer) <= 3 * len(asked)
+    assert len(answer) <= 3 * len(sent)
 
 
 @hypothesis.given(strategies.binary(max_size=60))
 def test_garbage_raises_our_errors_only(payload: bytes) -> None:
-    """Neither caller nor server can raise anything but a MessageError."""
+    """Malformed datagrams raise only MessageError."""
     for read in (CODEC.read_caller, CODEC.read_server):
         try:
             read(payload)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Share fixtures and the profile of hypothesis."""
+"""Define shared fixtures and the hypothesis profile."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 @pytest.fixture
 def small() -> world.World:
-    """Return a small deployment in virtual time that has just got ready."""
+    """Return a small deployment in virtual time that is ready."""
     built = world.World(SMALL, seed=7, balancers=2)
     built.run_until(2.0)
     return built
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the run pass over the tests that KNOWN-RED.txt lists by their id."""
+    """Mark the tests that KNOWN-RED.txt lists by id as expected failures."""
     listed = bounds.known_red()
     for item in items:
         if item.nodeid in listed:
@@ -49,6 +49,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: typing.Any) -> None:
-    """Print the listed tests that did fail."""
+    """Print the listed tests that failed."""
     for report in terminalreporter.stats.get('xfailed', []):
         terminalreporter.write_line(f'KNOWN RED {report.nodeid}')
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Test that bounds stay strict, and known red covers only what it lists."""
+"""Test that bounds are strict and KNOWN-RED.txt excuses only listed checks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def run(scenario: str, **changes: typing.Any) -> dict[str, typing.Any]:
-    """Return a run of ours that breaks nothing, with changes."""
+    """Return a run of the library that passes all checks, with changes."""
     found = {
         'deployment': 'prairie',
         'scenario': scenario,
@@ -32,18 +32,18 @@
 
 
 def names(found: dict[str, typing.Any]) -> list[str]:
-    """Return the checks that a run breaks."""
+    """Return the checks that a run fails."""
     return [item.check for item in bounds.check([found])]
 
 
 def test_one_unexcused_broken_flow_is_red() -> None:
-    """The bound is zero, whatever is known."""
+    """The bound is zero, even if failures are listed."""
     found = run('crash', broken_unexcused_weighted=1.0)
     assert names(found) == ['bench/unexcused-after-crash']
 
 
 def test_a_regression_behind_a_known_red_is_new() -> None:
-    """Beyond its ceiling a known red check fails under another name."""
+    """Above its ceiling a listed check fails under another name."""
     found = run('crash', broken_unexcused_weighted=31.0)
     assert 'unexcused-ceiling' in names(found)
     assert 'unexcused-ceiling' not in bounds.known_red()
@@ -51,12 +51,12 @@
 
 @pytest.mark.parametrize('name', ['ran_twice', 'misrouted', 'unfinished'])
 def test_nothing_else_is_excused(name: str) -> None:
-    """Promises that must always hold are on no list."""
+    """Checks that must always pass are in no list."""
     assert names(run('drain', **{name: 1})) == [name]
     assert name not in bounds.known_red()
 
 
 def test_at_most_three_lines() -> None:
-    """KNOWN-RED.txt stays short; without it nothing is known."""
+    """KNOWN-RED.txt has three lines at most."""
     lines = pathlib.Path(bounds.KNOWN_RED).read_text().splitlines()
     assert len(lines) <= 3
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Test that decisions import neither edges nor anything that does I/O."""
+"""Test that decisions import neither programs nor modules that do I/O."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     'tornado',
     'urllib',
 }
-#: Reads its own IDL file at import, and nothing else.
+#: This module reads its own IDL file at import, and no other file.
 MAY_READ_FILES = {'wire.py'}
 
 
@@ -46,7 +46,7 @@
     'path', sorted(LIBRARY.rglob('*.py')), ids=lambda p: p.name
 )
 def test_library_does_no_io(path: pathlib.Path) -> None:
-    """A module of the library has no socket, loop, clock or process."""
+    """A module of the library uses no socket, loop, clock or process."""
     found = imported(path) & FORBIDDEN
     if path.name not in MAY_READ_FILES:
         found |= imported(path) & {'pathlib'}
@@ -63,7 +63,7 @@
     assert users == {'coap.py'}
 
 
-#: Words of the users' platform that only its translation may use.
+#: Terms of the users' platform that only the platform package may use.
 PLATFORM_WORDS = (
     'kv-range',
     'kv-watch',
@@ -77,7 +77,7 @@
 
 
 def test_only_the_translation_knows_the_platform() -> None:
-    """Decisions and edges use the product's names."""
+    """All other packages use the product's own terms."""
     root = root_of_repository()
     folders = ('packages', 'soak', 'bench', 'standins', 'tools', 'examples')
     paths = [
@@ -98,5 +98,5 @@
 
 
 def root_of_repository() -> pathlib.Path:
-    """Return the folder of the repository."""
+    """Return the root folder of the repository."""
     return LIBRARY.parent.parent.parent
--- a/tests/test_proxy_header.py
+++ b/tests/test_proxy_header.py
@@ -1,4 +1,4 @@
-"""Test the PROXY header against the library, and against garbage."""
+"""Test the PROXY header against the library and with malformed input."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_library_reads_what_we_write() -> None:
-    """Addresses and family agree with the library on PyPI."""
+    """The library on PyPI decodes the same protocol and addresses."""
     import socket
 
     packed = proxy_header.pack_plain(FLOW, b'')
@@ -33,27 +33,27 @@
 
 
 def test_plain_round_trip() -> None:
-    """What is packed is read again."""
+    """A packed datagram is decoded unchanged."""
     packed = proxy_header.pack_plain(FLOW, b'payload')
     assert proxy_header.read_plain(packed) == (FLOW, b'payload')
 
 
 def test_internal_round_trip_under_either_key() -> None:
-    """While a key is changed, both keys are good."""
+    """During a key rotation, both keys are accepted."""
     for key in KEYS:
         packed = proxy_header.pack_internal(PACKET, key=key)
         assert proxy_header.read_internal(packed, keys=KEYS) == PACKET
 
 
 def test_internal_header_from_outside_is_refused() -> None:
-    """A caller can't pose as a balancer towards the fabric's side."""
+    """A caller can't pose as a balancer by sending an internal header."""
     packed = proxy_header.pack_internal(PACKET, key=KEYS[0])
     with pytest.raises(exceptions.HeaderError, match='tlv'):
         proxy_header.read_plain(packed)
 
 
 def test_every_changed_byte_is_noticed() -> None:
-    """A tag covers header, TLV and payload."""
+    """The tag covers header, TLV and payload."""
     packed = proxy_header.pack_internal(PACKET, key=KEYS[0])
     for index in range(len(packed)):
         changed = bytearray(packed)
@@ -64,7 +64,7 @@
 
 @hypothesis.given(strategies.binary(max_size=80))
 def test_garbage_raises_our_errors_only(datagram: bytes) -> None:
-    """Nothing but a HeaderError or SealError comes of garbage."""
+    """Malformed input raises only errors of the library."""
     for mixed in (datagram, proxy_header.SIGNATURE + datagram):
         try:
             proxy_header.read_plain(mixed)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Test messages between processes: round trip, keys and garbage."""
+"""Test messages between processes: round trip, keys and malformed input."""
 
 from __future__ import annotations
 
@@ -43,21 +43,21 @@
 
 @pytest.mark.parametrize('message', SAMPLES, ids=lambda m: type(m).__name__)
 def test_round_trip(message: tuple) -> None:
-    """Each kind comes back as it was, under the newer or the older key."""
+    """Each kind is decoded unchanged, with the newer and the older key."""
     for key in KEYS:
         packed = wire.pack(message, key=key)
         assert wire.unpack(packed, keys=KEYS) == message
 
 
 def test_every_kind_has_a_sample() -> None:
-    """No kind of the union goes untested."""
+    """Each kind of the union is tested."""
     assert {type(m).__name__ for m in SAMPLES} == set(
         wire._FIELDS['PeerMessage']
     )
 
 
 def test_wrong_key_is_refused() -> None:
-    """A message under a key that isn't in use says so."""
+    """A message under a key that isn't in use raises an error."""
     packed = wire.pack(SAMPLES[0], key=b'z' * 16)
     with pytest.raises(exceptions.SealError):
         wire.unpack(packed, keys=KEYS)
@@ -65,7 +65,7 @@
 
 @hypothesis.given(strategies.binary(max_size=120))
 def test_garbage_raises_our_errors_only(body: bytes) -> None:
-    """Nonsense ends in an error of ours, with the right key and without."""
+    """Malformed input raises a TeaseldockError, with a valid tag or not."""
     with pytest.raises(exceptions.TeaseldockError):
         wire.unpack(body, keys=KEYS)
     sealed = wire._tag(body, KEYS[0]) + body
