--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -1,8 +1,8 @@
 """Admit requests to the backend server beside this process.
 
-It brings together what packets show (:mod:`~teaseldock.packets.tracking`), the
-order of those that wait (:mod:`~teaseldock.packets.dispatching`) and how
-requests end (:mod:`~teaseldock.packets.outcomes`).
+It combines the tracking of flows (:mod:`~teaseldock.packets.tracking`), the
+queue of waiting requests (:mod:`~teaseldock.packets.dispatching`) and the
+failure rate of requests (:mod:`~teaseldock.packets.outcomes`).
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
     from teaseldock.packets import tracking
     from teaseldock.packets import warming
 
-#: Terms of requests whose route is unknown here: an agent that knows no
-#: configuration yet must not hold anything back for long.
+#: Terms of requests without a known route: an agent that has no configuration
+#: yet must not delay requests for long.
 UNKNOWN_TERMS = dispatching.Terms(0.15, 2.5, 0, guarded=False)
-#: Share of failed requests above which a line tells of it: two in a row.
+#: Share of failed requests above which the server is logged as failing: two
+#: consecutive failures.
 FAILING_NOTED = 0.35
-#: Slots assumed before the server's entry is known: one request at a time is
-#: what every server can do.
+#: Slots assumed before the server's entry is known: every server can run one
+#: request at a time.
 UNKNOWN_SLOTS = 1
 
 ToServer = typing.Callable[['packet.Packet', str], None]
@@ -35,7 +36,7 @@
 
 
 class Admission:
-    """The requests of one backend server, at it and waiting for it."""
+    """The running and waiting requests of one backend server."""
 
     def __init__(
         self,
@@ -49,10 +50,12 @@
         meters: reporting.Meters,
         now: float,
     ) -> None:
-        """Start without requests.
+        """Create an admission control without requests.
 
-        :param to_server: gives a packet to the server, with its balancer.
-        :param inputs: returns the versions that decide, for log lines.
+        :param to_server: sends a packet to the server; its second argument is
+            the host of the balancer that sent the packet.
+        :param inputs: returns the configuration version, store revision and
+            era in use, for log lines.
         """
         self._tracker = tracker
         self._knowledge = known
@@ -68,32 +71,35 @@
 
     @property
     def queue(self) -> dispatching.RequestQueue:
-        """Return the requests at the backend server and those that wait."""
+        """Return the queue of running and waiting requests."""
         return self._queue
 
     @property
     def slots(self) -> int:
-        """Return how many requests the server runs at once."""
+        """Return the number of requests that the server runs at once."""
         return self._slots
 
     def set_slots(self, slots: int) -> None:
-        """Take over how many requests the server runs at once."""
+        """Set the number of requests that the server runs at once."""
         self._slots = slots
 
     def failing(self, now: float) -> float:
-        """Return the share of requests that failed lately."""
+        """Return the share of recent requests that failed, from 0 to 1."""
         return round(self._outcomes.failing(now), 2)
 
     def clear(self) -> None:
-        """Forget all: what the last run of the server had is lost."""
+        """Drop all requests and outcomes of the server's previous run."""
         self._queue.clear()
         self._outcomes.clear()
 
     def hold_if_waiting(
         self, item: packet.Packet, host: str, now: float
     ) -> bool:
-        """Tell whether a packet is kept until its request gets a slot."""
-        asked = self._tracker.from_caller(item, now)
+        """Record a caller's packet; hold it if its request must wait.
+
+        :returns: whether the packet is held until its request gets a slot.
+        """
+        request = self._tracker.from_caller(item, now)
         if item.resetting and self._queue.is_running(item.flow):
             self._note_failure(item.flow, 'caller gave up', now)
         if item.resetting or item.closing:
@@ -101,8 +107,8 @@
             return False
         if not item.length:
             return False
-        if asked is not None and not self._queue.is_waiting(item.flow):
-            self._offer(item, asked, now)
+        if request is not None and not self._queue.is_waiting(item.flow):
+            self._offer(item, request, now)
         if not self._queue.is_waiting(item.flow):
             return False
         if not self._queue.add_packet(item.flow, (item, host)):
@@ -110,7 +116,7 @@
         return True
 
     def _offer(
-        self, item: packet.Packet, asked: tracking.NewRequest, now: float
+        self, item: packet.Packet, request: tracking.NewRequest, now: float
     ) -> None:
         terms = self._terms(item.flow)
         if terms is None:
@@ -119,7 +125,7 @@
             item.flow,
             terms,
             slots=self._usable_slots(now),
-            since=asked.since,
+            since=request.since,
             now=now,
         )
         if waiting is not None:
@@ -130,8 +136,8 @@
     def _usable_slots(self, now: float) -> int:
         """Return the slots that may be used, fewer while the server is cold.
 
-        Requests of flows that are open can't go elsewhere: beyond the cold
-        server's limit they wait here, in their order.
+        Requests of open flows can't be sent to another server. Those beyond
+        the cold server's limit wait in the queue.
         """
         left = self._warming.requests_left(now)
         if left is None:
@@ -141,8 +147,8 @@
     def _terms(self, flow: bytes) -> dispatching.Terms | None:
         """Return the terms of a flow's requests; None for uploads.
 
-        Their bytes take longer to come than the server to use them; counted
-        as running, uploads would leave slots idle.
+        An upload takes longer to arrive than to process. Uploads that counted
+        as running would leave slots idle.
         """
         route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None:
@@ -157,10 +163,10 @@
         )
 
     def note_unqueued(self, item: packet.Packet, now: float) -> None:
-        """Note a packet that goes to the server without waiting.
+        """Record a packet that is forwarded without queueing.
 
-        The request that it may carry is noted: its flow's packets come again,
-        and a repetition must not count as another request.
+        A request that begins with it is recorded as well: the flow's packets
+        are sent again, and a repetition must not count as another request.
         """
         if self._tracker.from_caller(item, now) is None:
             return
@@ -170,7 +176,7 @@
             self._warming.note_requests(1, now)
 
     def from_server(self, item: packet.Packet, now: float) -> None:
-        """Note a packet of the server: an answer, or the end of a flow."""
+        """Handle a server's packet: an answer, or the end of a flow."""
         if item.resetting and self._tracker.has_pending_request(item.flow):
             self._note_failure(item.flow, 'server reset it', now)
         taken_s = self._tracker.from_server(item, now)
@@ -184,17 +190,17 @@
             self.drop(item.flow, now)
 
     def note_returned(self, flow: bytes, now: float) -> None:
-        """Note that the server doesn't hold a flow."""
+        """Record that the server doesn't hold a flow."""
         self._tracker.note_returned(flow)
         self.drop(flow, now)
 
     def drop(self, flow: bytes, now: float) -> None:
-        """Forget the request of a flow that has ended."""
+        """Drop the request of a flow that has ended."""
         self._queue.drop(flow)
         self.release(now)
 
     def release(self, now: float) -> None:
-        """Give the requests whose turn has come to the server."""
+        """Send the waiting requests that get a slot to the server."""
         released = self._queue.release(slots=self._usable_slots(now), now=now)
         self._warming.note_requests(len(released), now)
         for item in released:
@@ -214,7 +220,7 @@
                 self._to_server(held, host)
 
     def tick(self, now: float) -> None:
-        """Drop what callers have given up, and use the slots that got free."""
+        """Drop requests past their timeout, and fill the free slots."""
         expired = self._queue.expire(now)
         for flow in expired.running:
             self._note_failure(flow, 'no answer', now)
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -1,4 +1,4 @@
-"""Decide for the process beside a backend server."""
+"""Make the decisions of the agent beside a backend server."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     from teaseldock.packets import packet
     from teaseldock.packets import records
 
-#: Seconds between two looks for flows that have ended unseen.
+#: Seconds between two searches for tracked flows that have expired.
 SWEEP_S = 1.0
-#: Seconds for which an open flow may be idle, at the least: the users' sheets
-#: name 15. Once an agent is older, it has seen a packet of every flow.
+#: Minimum idle timeout of an open flow, in seconds: the users' requirements
+#: state 15. An agent that has run for longer has seen a packet of every flow.
 FLOW_IDLE_S = 15.0
-#: Seconds between an agent's start and an answer of the store that still names
-#: the former run of its server, so that the next run began after the agent:
-#: a server writes its first entry within a heartbeat of 1.2 s, and changes
-#: reach everybody in 1.3 s with one repetition.
+#: If the store still returns the previous run of the server this many seconds
+#: after the agent's start, the next run started after the agent: a server
+#: writes its first entry within one heartbeat of 1.2 s, and a change reaches
+#: all processes in 1.3 s, including one retransmission.
 RUN_CONFIRMED_S = 3.0
 _NO_TOKEN = bytes(4)
 
 
 class Reason(enum.IntEnum):
-    """Why a packet went back to the balancer."""
+    """Why an agent returned a packet to the balancer."""
 
     NOT_HELD = 0
     OTHER_SERVICE = 1
@@ -48,15 +48,17 @@
 
 
 class Agent(node.Node):
-    """Pass packets between balancers, one backend server and callers."""
+    """Forward packets between balancers, one backend server and callers."""
 
     def __init__(
         self, *, service: str, port: int, now: float, **options: typing.Any
     ) -> None:
-        """Start without flows; other options as for :class:`node.Node`.
+        """Create an agent without flows.
 
-        :param service: the only service whose packets are taken.
-        :param port: of the backend server on this instance.
+        Other options are those of :class:`node.Node`.
+
+        :param service: the only service whose packets are accepted.
+        :param port: port of the backend server on this instance.
         """
         super().__init__(is_balancer=False, now=now, **options)
         self._service = service
@@ -75,7 +77,7 @@
             meters=self._meters,
             now=now,
         )
-        self._served_run: tuple[str, int] | None = None
+        self._server_run: tuple[str, int] | None = None
         self._saw_server_start = False
         self._began = now
         self._responder = locate_responder.LocateResponder(
@@ -91,12 +93,12 @@
 
     @property
     def tracker(self) -> tracking.Tracker:
-        """Return what packets show of the backend server."""
+        """Return the tracker of the backend server's flows."""
         return self._tracker
 
     @property
     def has_no_requests(self) -> bool:
-        """Tell whether no request waits for its answer."""
+        """Return whether every request has been answered."""
         return not self._tracker.asked
 
     @property
@@ -104,11 +106,10 @@
         """Return the entry of the backend server on this instance."""
         return self._own_target
 
-    def _find_own_target(self) -> records.Target | None:
+    def _select_own_target(self) -> records.Target | None:
         """Return the newest entry for the server beside this process.
 
-        A server that has restarted stands there twice until its former entry
-        expires; the newer one counts.
+        A restarted server has two entries until the older one expires.
         """
         entries = [
             target
@@ -121,21 +122,22 @@
         self._send(host, datagram, control_budget.Purpose.SEARCH)
 
     def _reports_to_all(self, now: float) -> bool:
-        """Tell whether all balancers must know of the flows held here.
+        """Return whether all balancers must receive the heartbeats.
 
-        They ask the servers that have an entry, and those that a route names.
-        A server whose entry has expired for want of the store, or that holds
-        flows of a route that now goes elsewhere, is known by its agent alone.
+        Balancers query the servers that have an entry and those that a route
+        names. They depend on this agent's heartbeats if the server's entry
+        expired during a store outage, or if the server holds flows of a route
+        that now names another service.
         """
-        if self._served_run is not None and self._own_target is None:
+        if self._server_run is not None and self._own_target is None:
             return True
         return bool(self._holdings(now).moved)
 
     def _server_load(self, now: float) -> load.Load:
-        current = self._tracker.load(self._admission.slots, now)
+        server_load = self._tracker.load(self._admission.slots, now)
         if self._refusal_reason(now) is not None:
-            current = current._replace(accepting=False)
-        return current
+            server_load = server_load._replace(accepting=False)
+        return server_load
 
     def _failing_percent(self, now: float) -> int:
         return round(100 * self._admission.failing(now))
@@ -155,24 +157,24 @@
 
     @property
     def queue(self) -> dispatching.RequestQueue:
-        """Return the requests at the backend server and those that wait."""
+        """Return the queue of running and waiting requests."""
         return self._admission.queue
 
     def _on_store_change(self, now: float) -> None:
-        before = self._own_target
-        target = self._own_target = self._find_own_target()
+        previous = self._own_target
+        target = self._own_target = self._select_own_target()
         self._update_warming(now)
         if target is None:
-            # Its entry expired; the slots stay what they were.
-            if before is not None:
+            # The entry has expired; keep the number of slots.
+            if previous is not None:
                 self._send_heartbeats(self._mesh.balancers(), now)
             return
         self._admission.set_slots(target.slots)
-        if target.run == self._served_run:
+        if target.run == self._server_run:
             return
-        if self._served_run is not None:
-            self._on_restart(self._served_run, target)
-        self._served_run = target.run
+        if self._server_run is not None:
+            self._on_restart(self._server_run, target)
+        self._server_run = target.run
 
     def _update_warming(self, now: float) -> None:
         configuration = self._knowledge.configuration
@@ -192,19 +194,20 @@
         return data_centre in self._knowledge.evacuated
 
     def _on_restart(
-        self, before: tuple[str, int], target: records.Target
+        self, previous: tuple[str, int], target: records.Target
     ) -> None:
-        """Start anew with another run of the server: it has nothing of before.
+        """Drop the requests of the previous run of the server.
 
-        The agent knows all flows of the new run only if it began before it.
-        An agent that started a moment after its server, and heard of the
-        former run first, would deny flows that live.
+        The agent has seen all flows of the new run only if it started before
+        that run. An agent that starts shortly after its server may receive
+        the entry of the previous run first. Without this check it would
+        answer that live flows are not held.
         """
         seen = self._store.confirmed_after(self._began + RUN_CONFIRMED_S)
         self._saw_server_start = self._saw_server_start or seen
         self._reporter.note(
             'server restarted',
-            before=before,
+            before=previous,
             target=target.run,
             seen=seen,
             dropped=self.queue.running + self.queue.waiting,
@@ -215,21 +218,22 @@
         self._tracker.server_restarted()
 
     def _all_flows_seen(self, now: float) -> bool:
-        """Tell whether every flow of the server has shown itself here.
+        """Return whether the agent has seen a packet of every flow held.
 
-        An agent that is younger than its server may hold flows that were
-        silent since; denying them would get them reset.
+        An agent that started after its server may not have seen flows that
+        have been idle since. If it answered that they are not held, they
+        would be reset.
         """
         if self._saw_server_start:
             return True
         return now - self._began > self._idle_s()
 
     def _idle_s(self) -> float:
-        """Return the longest time for which an open flow may be idle.
+        """Return the idle timeout of open flows, in seconds.
 
-        An agent that forgot a flow sooner would deny it, and callers would
-        see flows reset that were merely quiet. The operator may change the
-        timeout; a shorter one ends no flow that its server still keeps.
+        An agent that dropped a flow earlier would answer that it is not held,
+        and idle flows would be reset. The operator may change the timeout; a
+        shorter one ends no flow that the server still holds.
         """
         configuration = self._knowledge.configuration
         if configuration is None:
@@ -237,7 +241,7 @@
         return max(FLOW_IDLE_S, configuration.idle_timeout_ms / 1000)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the periodic tasks that are due."""
         super().tick(now)
         self._admission.tick(now)
         self._relay.tick(now)
@@ -269,18 +273,18 @@
         elif envelope.kind == control.KIND_PROBE:
             self._on_probe(envelope, host, now)
         elif envelope.kind == control.KIND_GET_LOAD:
-            self._on_ask(host, now)
+            self._on_get_load(host, now)
         elif envelope.kind == control.KIND_LOCATED:
             self._relay.on_located(envelope, host)
         elif envelope.kind == control.KIND_RELAY:
-            errand = control.read_relay_request(envelope)
-            flow = self._io.read_packet(errand.raw).flow
-            self._relay.begin(errand, flow, host, now)
+            request = control.read_relay_request(envelope)
+            flow = self._io.read_packet(request.raw).flow
+            self._relay.begin(request, flow, host, now)
         else:
             self._meters.counters['dropped_not_for_agent'] += 1
 
-    def _on_ask(self, host: str, now: float) -> None:
-        """Tell a balancer that is about to place a flow how busy it is."""
+    def _on_get_load(self, host: str, now: float) -> None:
+        """Send the server's load to a balancer that is placing a flow."""
         self._mesh.add_balancer(host, now)
         self._send(
             host,
@@ -293,9 +297,9 @@
     ) -> None:
         self._meters.counters['packets_in'] += 1
         if envelope.tag != self._tag:
-            # The address was given to another service. Without this check a
-            # balancer with the old entry would bring callers to the wrong
-            # service; it would show in the wrong server's log.
+            # The address has been reassigned to another service. Without this
+            # check a balancer with the old entry would send callers to the
+            # wrong service, visible only in the log of the wrong server.
             self._give_back(
                 envelope.body, envelope.tag, host, Reason.OTHER_SERVICE
             )
@@ -303,15 +307,16 @@
         item = self._io.read_packet(envelope.body)
         refusal = self._refusal_reason(now) if item.opening else None
         if refusal is not None and not self._tracker.half_open(item.flow):
-            # A copy of an opening that the server has accepted goes on to it.
-            # Given back, the balancer that finds no other target would reset
-            # the flow, which opens here at that moment.
+            # A copy of an opening that the server has accepted is forwarded.
+            # If it were returned, a balancer without another target would
+            # reset the flow while it opens here.
             self._give_back(item.raw, self._tag, host, refusal)
             self._note_given_back(item, host, refusal)
             return
         if not item.opening and not self._tracker.belongs(item):
-            # The flow stays known: an agent that forgot its server's number
-            # would let the server judge the next packet of it, by a reset.
+            # Keep tracking the flow: without the server's initial sequence
+            # number, the agent would forward the flow's next packet, and the
+            # server would reset the flow.
             self._note_given_back(item, host, Reason.NOT_HELD)
             self._give_back(item.raw, self._tag, host, Reason.NOT_HELD)
             return
@@ -327,9 +332,10 @@
     def _on_probe(
         self, envelope: control.Envelope, host: str, now: float
     ) -> None:
-        """Let the server show whether it holds the flow of a packet.
+        """Forward a probe packet, unless tracking already gives the answer.
 
-        The packet doesn't wait for a slot.
+        The server's reaction shows whether it holds the flow. The packet is
+        not queued for a slot.
         """
         item = self._io.read_packet(envelope.body)
         if not self._responder.on_probe(item, host):
@@ -338,7 +344,7 @@
         self._to_server(item, host)
 
     def _refusal_reason(self, now: float) -> Reason | None:
-        """Return why the server gets no new flows, or None."""
+        """Return why new flows are refused, or None if they are accepted."""
         target = self._own_target
         if self._leaving or (target is not None and target.draining):
             return Reason.LEAVING
@@ -381,11 +387,11 @@
         self._io.to_caller(item)
         self._responder.answer_probe(item.flow, searching.LocateResult.HELD)
         address = flows.packed_service_endpoint(item.flow)
-        known = address in self._tracker.addresses
+        address_known = address in self._tracker.addresses
         self._admission.from_server(item, now)
-        if not known and self._is_routed_elsewhere(address):
-            # Opened by a balancer that lags. Others ask here only if they
-            # hear of it, which must not wait for the next heartbeat.
+        if not address_known and self._is_routed_elsewhere(address):
+            # A balancer with an old configuration opened the flow. Others
+            # query this agent only after its next heartbeat, so send one now.
             self._send_heartbeats(self._mesh.balancers(), now)
 
     def _on_stray_reset(self, item: packet.Packet, now: float) -> None:
--- a/packages/teaseldock/teaseldock/packets/dispatching.py
+++ b/packages/teaseldock/teaseldock/packets/dispatching.py
@@ -1,12 +1,12 @@
-"""Order the requests that wait for a slot of one backend server.
-
-The load it answers: more requests at one moment than the server has slots,
-for a second or two: after a loss of power, when all callers return together,
-or in a burst. A server takes requests in the order of their arrival. When the
-queue is longer than the latency objective, every request then misses it, also
-those that came last and might have met it. Here, requests that can still meet
-their objective go first, by rank and then by the time they have left; the
-others fill the slots that remain, and none is lost by that.
+"""Schedule the requests that wait for a slot of one backend server.
+
+Under a burst, or after a power loss when all callers reconnect at once, a
+server gets more requests than it has slots for a second or two. In first-in,
+first-out order, once the queue takes longer than the latency objective, every
+request misses it, including late arrivals that could have met it. This queue
+releases requests that can still meet their objective first, by priority and
+then by remaining time. The others fill the remaining slots; none is lost by
+this order.
 """
 
 from __future__ import annotations
@@ -14,43 +14,45 @@
 import collections
 import typing
 
-#: Requests given to the server beyond its slots: the next one is there when a
-#: slot gets free, without a round trip to this process.
+#: Requests sent to the server beyond its slots: it can start the next one as
+#: soon as a slot is free, without a round trip to this process.
 AHEAD = 1
-#: Mean deviations that a request needs left beyond the mean time from release
-#: to answer, to count as in time. At the mean itself nearly half of those that
-#: are released end too late; with one more deviation, one in six. More would
-#: give up requests that could be served: played at 1.1 times the capacity of
-#: two slots, 0, 1, 2 and 3 deviations let 0.62, 0.64, 0.63 and 0.58 of the
-#: feeds end in time.
+#: A request can meet its objective if its remaining time is at least the mean
+#: time from release to answer plus this many mean deviations. With the mean
+#: alone nearly half of the released requests end too late; with one deviation,
+#: one in six. More deviations rank requests as late that could be in time: in
+#: a simulation at 1.1 times the capacity of two slots, with 0, 1, 2 and 3
+#: deviations, 0.62, 0.64, 0.63 and 0.58 of the feeds end in time.
 DEVIATIONS = 1.0
-#: A late request that nobody would repeat goes first when it has only this
-#: many times the mean time from release to answer left until its timeout:
-#: it is answered before its caller gives up, although others in the same
-#: plight go before it.
+#: A late non-idempotent request goes first when the time left until its
+#: timeout is less than this many times the mean time from release to answer.
+#: It is then answered before the timeout even if other such requests go
+#: before it.
 LAST_CALL = 3.0
-#: Weight of one more observation in the mean service time.
+#: Weight of a new observation in the moving averages.
 OBSERVED_WEIGHT = 0.1
-#: Observations that the times assumed at the start count for: with none, one
-#: slow answer would make all that waits seem late.
+#: Number of observations that the initial times count for: with none, one
+#: slow answer would make all waiting requests rank as late.
 ASSUMED_OBSERVATIONS = 4
-#: Service time assumed before the first observation, and the deviation of the
-#: time from release to answer, seconds.
+#: Initial service time, and initial deviation of the time from release to
+#: answer, both in seconds.
 FIRST_SERVICE_S = 0.03
 FIRST_DEVIATION_S = 0.01
-#: Packets held for one request; a caller has at most 16 under way.
+#: Packets held for one request; a caller has at most 16 in flight.
 PACKETS_HELD = 16
-#: Requests held. At 2 slots and 30 ms, 100 take 1.5 s, most of a deadline.
+#: Requests held. At 2 slots and 30 ms each, 100 requests take 1.5 s, most of
+#: a deadline.
 REQUESTS_HELD = 400
 
 
 class Terms(typing.NamedTuple):
-    """What a route demands for its requests.
+    """What a route requires for its requests.
 
-    :ivar aim_s: latency objective.
-    :ivar timeout_s: time after which the caller gives up.
+    :ivar aim_s: latency objective, in seconds.
+    :ivar timeout_s: seconds after which the caller gives up.
     :ivar priority: 0 is the highest.
-    :ivar guarded: whether it is not idempotent: nobody repeats it.
+    :ivar guarded: whether the request is non-idempotent, so that its caller
+        doesn't retry it.
     """
 
     aim_s: float
@@ -65,9 +67,10 @@
     __slots__ = ('flow', 'terms', 'since', 'packets')
 
     def __init__(self, flow: bytes, terms: Terms, since: float) -> None:
-        """Start without packets.
+        """Create a waiting request without packets.
 
-        :param since: when its caller sent it first, as far as known.
+        :param since: time at which the caller first sent it, if known; else
+            the time at which it was first seen.
         """
         self.flow = flow
         self.terms = terms
@@ -76,11 +79,12 @@
 
 
 class _RunningRequest(typing.NamedTuple):
-    """A request at the server.
+    """A request that was sent to the server.
 
-    :ivar began: when it was given to the server.
-    :ivar timed: whether a slot was free, so that its time is the server's.
-    :ivar timeout_s: time after which it is taken for lost.
+    :ivar began: time at which it was sent to the server.
+    :ivar timed: whether a slot was free, so that its duration is the
+        service time.
+    :ivar timeout_s: seconds after which it counts as lost.
     """
 
     began: float
@@ -89,10 +93,10 @@
 
 
 class Expired(typing.NamedTuple):
-    """Requests whose callers have given up.
+    """Requests whose timeout has passed.
 
-    :ivar waiting: those that never went to the server.
-    :ivar running: flows of those that the server never answered.
+    :ivar waiting: requests that were never sent to the server.
+    :ivar running: flows of requests that the server never answered.
     """
 
     waiting: list[WaitingRequest]
@@ -100,42 +104,42 @@
 
 
 class RequestQueue:
-    """Requests of all flows of one server, those at it and those waiting."""
+    """The running and waiting requests of one server, by flow."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._waiting: collections.OrderedDict[bytes, WaitingRequest] = (
             collections.OrderedDict()
         )
         self._running: dict[bytes, _RunningRequest] = {}
         self._service_s = FIRST_SERVICE_S
-        # Mean time from release to answer, and its mean deviation. It is
-        # longer than the service time: one request waits in the server.
+        # Mean time from release to answer, and its mean deviation. The mean
+        # exceeds the service time, since AHEAD requests wait in the server.
         self._answer_s = FIRST_SERVICE_S
         self._deviation_s = FIRST_DEVIATION_S
         self._observations = ASSUMED_OBSERVATIONS
 
     @property
     def waiting(self) -> int:
-        """Return the number of requests that wait here."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Return the number of requests at the server."""
+        """Return the number of requests sent to the server."""
         return len(self._running)
 
     @property
     def service_s(self) -> float:
-        """Return the mean time that the server takes, seconds."""
+        """Return the mean service time, in seconds."""
         return self._service_s
 
     def is_waiting(self, flow: bytes) -> bool:
-        """Tell whether a request of a flow waits here."""
+        """Return whether a request of a flow is waiting."""
         return flow in self._waiting
 
     def is_running(self, flow: bytes) -> bool:
-        """Tell whether a request of a flow is at the server."""
+        """Return whether a request of a flow was sent to the server."""
         return flow in self._running
 
     def offer(
@@ -147,10 +151,11 @@
         since: float,
         now: float,
     ) -> WaitingRequest | None:
-        """Take a new request; return it if it must wait.
+        """Add a new request.
 
-        :param slots: requests that the server runs at once.
-        :param since: when its caller sent it first, as far as known.
+        :param slots: number of requests that the server runs at once.
+        :param since: time at which the caller first sent it, if known.
+        :returns: the request if it must wait, else None.
         """
         full = len(self._running) >= slots + AHEAD
         if (full or self._waiting) and len(self._waiting) < REQUESTS_HELD:
@@ -161,7 +166,7 @@
         return None
 
     def add_packet(self, flow: bytes, packet: typing.Any) -> bool:
-        """Keep a packet of a waiting request; tell whether it was kept."""
+        """Hold a packet of a waiting request; return whether it was held."""
         item = self._waiting[flow]
         if len(item.packets) >= PACKETS_HELD:
             return False
@@ -171,18 +176,20 @@
     def begin(
         self, flow: bytes, terms: Terms, *, slots: int, now: float
     ) -> None:
-        """Note a request that is given to the server at once."""
-        # One that queues in the server would make it look slow.
+        """Record a request that is sent to the server now."""
+        # Queueing in the server must not count as service time.
         timed = len(self._running) < slots
         self._running[flow] = _RunningRequest(now, timed, terms.timeout_s)
 
     def finish(self, flow: bytes, now: float) -> float | None:
-        """Note the answer to a request; return how long it ran.
+        """Record the answer to a request; return its duration in seconds.
 
-        One that still waits here was run all the same: the server had it with
-        a packet that asked who holds the flow. Released later it would get no
-        second answer and keep its slot until its timeout; after a loss of
-        power nearly all servers stood still so for 3.4 s.
+        A request that is still waiting may be answered: the server received
+        it with a probe packet. If it were released later, it would get no
+        second answer and occupy its slot until its timeout. After a power
+        loss this stopped nearly all servers for 3.4 s.
+
+        :returns: None if the request was not running.
         """
         self._waiting.pop(flow, None)
         ended = self._running.pop(flow, None)
@@ -195,8 +202,8 @@
         return taken_s
 
     def _update_answer_time(self, taken_s: float) -> None:
-        # The first answers count for more: an agent that has just started
-        # beside a cold server would take ten of them to believe it.
+        # The first answers have a higher weight: with OBSERVED_WEIGHT alone,
+        # a new agent beside a cold server would need ten of them to adapt.
         self._observations += 1
         weight = max(OBSERVED_WEIGHT, 1 / self._observations)
         error_s = taken_s - self._answer_s
@@ -205,21 +212,21 @@
 
     @property
     def needed_s(self) -> float:
-        """Return the time that a request needs left to end in time."""
+        """Return the remaining time that a request needs to end in time."""
         return self._answer_s + DEVIATIONS * self._deviation_s
 
     def drop(self, flow: bytes) -> None:
-        """Forget a request whose flow has ended."""
+        """Drop the request of a flow that has ended."""
         self._waiting.pop(flow, None)
         self._running.pop(flow, None)
 
     def clear(self) -> None:
-        """Forget all requests: the server that had them is gone."""
+        """Drop all requests, since the server has restarted."""
         self._waiting.clear()
         self._running.clear()
 
     def release(self, *, slots: int, now: float) -> list[WaitingRequest]:
-        """Return the requests that go to the server now."""
+        """Remove and return the requests to send to the server now."""
         released = []
         while self._waiting and len(self._running) < slots + AHEAD:
             item = min(
@@ -244,11 +251,11 @@
         return (2, item.terms.priority, timeout_at)
 
     def expire(self, now: float) -> Expired:
-        """Drop and return what callers have given up.
+        """Remove and return the requests whose timeout has passed.
 
-        A server that lost a request never answers it. Without this its slot
-        would stay taken for good, and after a few such requests nothing would
-        be sent to a server that is idle.
+        A server never answers a request that it has lost. Without this, the
+        request would occupy its slot forever, and after a few of them nothing
+        would be sent to an idle server.
         """
         lost = [
             flow
--- a/packages/teaseldock/teaseldock/packets/locate_responder.py
+++ b/packages/teaseldock/teaseldock/packets/locate_responder.py
@@ -1,4 +1,4 @@
-"""Answer whether the backend server beside this process holds a flow."""
+"""Answer queries whether this instance's backend server holds a flow."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from teaseldock.packets import tracking
 
 Send = typing.Callable[[str, bytes], None]
-#: Questions kept until the server has shown whether it holds their flows.
+#: Maximum number of probes that wait for a packet of the server.
 PROBES_KEPT = 1000
 
 
 class LocateResponder:
-    """Questions about flows of one backend server."""
+    """Queries about flows of one backend server, and pending probes."""
 
     def __init__(
         self,
@@ -28,11 +28,12 @@
         layout_revision: typing.Callable[[], int],
         send: Send,
     ) -> None:
-        """Start without a question.
+        """Create a responder without pending probes.
 
-        :param tag: of the service whose flows the server holds.
-        :param layout_revision: returns the newest that the agent knows.
-        :param send: sends a datagram of a search to a process.
+        :param tag: tag of the service that the server provides.
+        :param layout_revision: returns the newest layout revision that the
+            agent has received.
+        :param send: sends a datagram of a search to a host.
         """
         self._tracker = tracker
         self._tag = tag
@@ -43,16 +44,16 @@
         )
 
     def on_locate(
-        self, question: control.Envelope, host: str, *, all_flows_seen: bool
+        self, query: control.Envelope, host: str, *, all_flows_seen: bool
     ) -> None:
-        """Answer by what packets have shown.
+        """Answer from the tracked flows.
 
-        What service the flow's route names is nothing to go by: the operator
-        may have moved the route since the flow opened here.
+        The service of the flow's route is not considered: the operator may
+        have moved the route since the flow opened here.
 
         :param all_flows_seen: whether packets have shown every flow held.
         """
-        flow = question.body
+        flow = query.body
         self.answer(flow, host, self._lookup(flow, all_flows_seen))
 
     def _lookup(
@@ -67,13 +68,17 @@
         return searching.LocateResult.NOT_HELD
 
     def on_probe(self, item: packet.Packet, host: str) -> bool:
-        """Tell whether the server must show if it holds a packet's flow."""
+        """Handle a query that carries a packet of the flow.
+
+        :returns: whether the packet must be sent to the server, whose next
+            packet of the flow then gives the answer.
+        """
         if not self._tracker.belongs(item):
             self.answer(item.flow, host, searching.LocateResult.NOT_HELD)
             return False
         if self._tracker.acknowledges_acceptance(item):
-            # The server need not be asked, and its request may be waiting
-            # for a slot here.
+            # The server need not be probed, and the request may be waiting
+            # for a slot in the queue.
             self.answer(item.flow, host, searching.LocateResult.HELD)
             return False
         self._probes[item.flow] = host
@@ -84,16 +89,16 @@
     def answer_probe(
         self, flow: bytes, result: searching.LocateResult
     ) -> bool:
-        """Answer what the server has shown; tell whether anybody had asked."""
-        asker = self._probes.pop(flow, None)
-        if asker is None:
+        """Answer a pending probe; return False if there is none."""
+        requester = self._probes.pop(flow, None)
+        if requester is None:
             return False
-        self.answer(flow, asker, result)
+        self.answer(flow, requester, result)
         return True
 
     def answer(
         self, flow: bytes, host: str, result: searching.LocateResult
     ) -> None:
-        """Send an answer."""
+        """Send an answer to the host that asked."""
         located = control.Located(flow, self._layout_revision())
         self._send(host, control.pack_located(result, self._tag, located))
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -1,4 +1,4 @@
-"""Find flows that another balancer has placed, by asking agents."""
+"""Find flows that another balancer has placed, by querying agents."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Locator:
-    """The searches of one balancer."""
+    """The active searches of one balancer."""
 
     def __init__(
         self,
@@ -35,12 +35,13 @@
         reporter: reporting.Reporter,
         meters: reporting.Meters,
     ) -> None:
-        """Start without a search.
+        """Create a locator without searches.
 
-        :param forward: sends a packet where its hint says.
-        :param inputs: returns the versions that decide, for log lines.
-        :param control_bytes: what may be spent on searches.
-        :param catch_up: asks for changes that others know of.
+        :param forward: sends a packet to the host of its hint.
+        :param inputs: returns the configuration version, store revision and
+            era in use, for log lines.
+        :param control_bytes: budget that searches are charged to.
+        :param catch_up: requests changes that other processes have.
         """
         self._targets = targets
         self._forward = forward
@@ -55,7 +56,7 @@
     def search(
         self, item: packet.Packet, hint: hints.Hint, now: float
     ) -> None:
-        """Keep a packet, and ask who holds its flow."""
+        """Hold a packet, and query agents for the holder of its flow."""
         hint.state = hints.HintState.SEARCHED
         hint.host = None
         if hint.search is None or hint.search.stale(now):
@@ -64,17 +65,17 @@
             hint.search = searching.Search(hosts, now)
             self._active_searches[item.flow] = hint
         hint.search.add_packet(item)
-        self._ask(item.flow, hint, now)
+        self._query(item.flow, hint, now)
 
     def tick(self, now: float) -> None:
-        """Ask again where no answer came, and end old searches."""
+        """Retry queries without an answer, and drop expired searches."""
         for flow, hint in list(self._active_searches.items()):
             if hint.search is None or hint.search.stale(now):
                 del self._active_searches[flow]
                 continue
-            self._ask(flow, hint, now)
+            self._query(flow, hint, now)
 
-    def _ask(self, flow: bytes, hint: hints.Hint, now: float) -> None:
+    def _query(self, flow: bytes, hint: hints.Hint, now: float) -> None:
         search = hint.search
         if search is None or search.probe is None:
             return
@@ -90,31 +91,31 @@
         if not search.hosts_for_relays(now):
             return
         if search.relay_rounds:
-            # Some were silent: their entries may be gone by now.
+            # The entries of hosts without an answer may have been removed.
             search.set_hosts(self._targets.holders(flow, hint, now))
-        self._ask_relays(flow, search, now)
+        self._query_relays(flow, search, now)
 
-    def _ask_relays(
+    def _query_relays(
         self,
         flow: bytes,
         search: searching.Search,
         now: float,
     ) -> None:
-        """Let agents ask the hosts that have not said no.
+        """Delegate the remaining hosts to agents that relay the queries.
 
-        Each time another agent is asked first, should the last one be gone.
+        Each round starts with another relay, in case the last one has died.
         """
         hosts = search.hosts_for_relays(now)
         relays = self._targets.relays(flow, now) or hosts
-        turn = search.relay_rounds
+        relay_index = search.relay_rounds
         search.relayed(now)
         raw = search.probe.raw
         for start in range(0, len(hosts), searching.HOSTS_PER_RELAY):
-            part = hosts[start : start + searching.HOSTS_PER_RELAY]
-            errand = control.RelayRequest(part, raw)
-            relay = relays[turn % len(relays)]
-            self._send(relay, control.pack_relay_request(errand))
-            turn += 1
+            chunk = hosts[start : start + searching.HOSTS_PER_RELAY]
+            request = control.RelayRequest(chunk, raw)
+            relay = relays[relay_index % len(relays)]
+            self._send(relay, control.pack_relay_request(request))
+            relay_index += 1
 
     def _send(self, host: str, datagram: bytes) -> None:
         self._meters.counters['asked'] += 1
@@ -124,7 +125,7 @@
     def on_located(
         self, answer: control.Envelope, hint: hints.Hint, host: str, now: float
     ) -> None:
-        """Take an agent's answer."""
+        """Handle an agent's answer."""
         flow, layout_revision = control.read_located(answer.body)
         search = hint.search
         if search is None:
@@ -136,27 +137,25 @@
             search.note_denial(host, layout_revision)
         else:
             search.note_unsure(host)
-        self._ask(flow, hint, now)
+        self._query(flow, hint, now)
 
     def on_relayed(
         self,
         answer: control.Envelope,
-        outcome: control.RelayResult,
+        result: control.RelayResult,
         hint: hints.Hint,
         now: float,
     ) -> None:
-        """Take what a relay has heard."""
+        """Handle the result that a relay reports."""
         search = hint.search
         if search is None:
             return
         if answer.detail == searching.LocateResult.HELD:
-            self._on_found(
-                outcome.flow, hint, outcome.hosts[0], answer.tag, now
-            )
+            self._on_found(result.flow, hint, result.hosts[0], answer.tag, now)
             return
-        for host in outcome.hosts:
-            search.note_denial(host, outcome.layout_revision)
-        self._ask(outcome.flow, hint, now)
+        for host in result.hosts:
+            search.note_denial(host, result.layout_revision)
+        self._query(result.flow, hint, now)
 
     def _on_found(
         self,
@@ -168,7 +167,7 @@
     ) -> None:
         search = hint.search
         if host in hint.denied:
-            # Its server has returned a packet of the flow since.
+            # The server has returned a packet of the flow since its answer.
             self._meters.counters['found_late'] += 1
             return
         hint.host = host
@@ -193,12 +192,12 @@
         search: searching.Search,
         now: float,
     ) -> None:
-        """Give a flow up, if all who may hold it by now have said no.
+        """Declare a flow lost if all hosts that may hold it have denied it.
 
-        A target may have joined that this balancer has not heard of, and hold
-        the flow. Heartbeats, and the denials themselves, tell that there are
-        changes; without waiting for them the flow of a server that lives
-        would be reset.
+        A target whose entry this balancer has not received may hold the flow.
+        Heartbeats and the denials themselves show that changes are missing.
+        If the balancer did not wait for those changes, it would reset the
+        flow of a live server.
         """
         if self._targets.is_behind(search.layout_revision, now):
             self._meters.counters['verdicts_delayed'] += 1
@@ -215,7 +214,7 @@
         search: searching.Search,
         now: float,
     ) -> None:
-        """Reset a flow that nobody holds, so that its caller comes again."""
+        """Reset a flow that no server holds, so that its caller reconnects."""
         self._end(flow, hint, hints.HintState.LOST)
         self._meters.counters['flows_lost'] += 1
         took_ms = (now - search.began) * 1000
@@ -232,13 +231,13 @@
             self.reset(item)
 
     def _end(
-        self, flow: bytes, hint: hints.Hint, place: hints.HintState
+        self, flow: bytes, hint: hints.Hint, state: hints.HintState
     ) -> None:
-        hint.state = place
+        hint.state = state
         hint.search = None
         self._active_searches.pop(flow, None)
 
     def reset(self, item: packet.Packet) -> None:
-        """Reset a flow that is lost; a reset needs no answer."""
+        """Reset a lost flow, unless the packet is itself a reset."""
         if not item.resetting:
             self._io.reset_caller(item)
--- a/packages/teaseldock/teaseldock/packets/relaying.py
+++ b/packages/teaseldock/teaseldock/packets/relaying.py
@@ -1,9 +1,9 @@
-"""Ask other agents on behalf of a balancer who holds a flow.
+"""Query other agents on behalf of a balancer for the holder of a flow.
 
-A balancer with a slim link sends one datagram for each flow; the many
-questions and answers go over the agents' links (see
-:mod:`teaseldock.packets.searching`). An agent that is younger than its server
-can't tell by itself; it is given the packet, and lets its server show.
+A balancer with a slow link sends one datagram for each flow. The many queries
+and answers use the agents' links (see :mod:`teaseldock.packets.searching`). An
+agent that started after its server may not have seen all flows. It receives
+the packet and forwards it to its server, whose reaction gives the answer.
 """
 
 from __future__ import annotations
@@ -17,29 +17,30 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import reporting
 
-#: Seconds until a host that has not answered is asked again, doubled each
-#: time: more than the time that a busy agent takes for a batch of datagrams.
+#: Initial retry interval for hosts that have not answered, in seconds, doubled
+#: after each retry: longer than a busy agent takes for a batch of datagrams.
 ASK_AGAIN_S = 0.1
-#: Seconds after which the denials so far are told to the balancer, should
-#: some hosts be silent: a relay that dies must not take them along.
+#: Seconds after which the denials so far are reported to the balancer if some
+#: hosts have not answered: they must not be lost if the relay dies.
 PARTIAL_S = 0.05
-#: Seconds after which an errand is dropped; the balancer has asked another
-#: relay long before.
+#: Seconds after which a relayed search is dropped; by then the balancer has
+#: asked another relay.
 FORGET_S = 2.0
-#: Errands at a time; the oldest go first. At 200 flows a second over 40
-#: agents, each has 5 a second for some 10 ms.
+#: Maximum number of concurrent relayed searches; the oldest is evicted first.
+#: At 200 flows a second over 40 agents, each agent gets 5 searches a second
+#: of some 10 ms each.
 ERRANDS_KEPT = 500
 
 
 class _RelayedSearch:
-    """One flow that a balancer searches for."""
+    """One search that a balancer has delegated to this agent."""
 
     def __init__(
-        self, errand: control.RelayRequest, requester: str, now: float
+        self, request: control.RelayRequest, requester: str, now: float
     ) -> None:
         self.requester = requester
-        self.raw = errand.raw
-        self.hosts = errand.hosts
+        self.raw = request.raw
+        self.hosts = request.hosts
         self.began = now
         self.denied: set[str] = set()
         self.reported: set[str] = set()
@@ -49,111 +50,114 @@
 
     @property
     def pending_hosts(self) -> list[str]:
-        """Return the hosts that have not said no."""
+        """Return the hosts that have not denied holding the flow."""
         return [host for host in self.hosts if host not in self.denied]
 
 
 class Relay:
-    """The errands of one agent."""
+    """The relayed searches of one agent."""
 
     def __init__(
         self,
         send: typing.Callable[[str, bytes], None],
         meters: reporting.Meters,
     ) -> None:
-        """Start without an errand.
+        """Create a relay without searches.
 
-        :param send: sends a datagram of a search to a process.
+        :param send: sends a datagram of a search to a host.
         """
         self._send = send
         self._meters = meters
-        self._errands: collections.OrderedDict[bytes, _RelayedSearch] = (
+        self._searches: collections.OrderedDict[bytes, _RelayedSearch] = (
             collections.OrderedDict()
         )
 
     def begin(
         self,
-        errand: control.RelayRequest,
+        request: control.RelayRequest,
         flow: bytes,
         requester: str,
         now: float,
     ) -> None:
-        """Ask the hosts of an errand; its answer goes to the asker."""
+        """Query the hosts of a search; the result goes to the requester."""
         self._meters.counters['errands'] += 1
-        self._errands[flow] = _RelayedSearch(errand, requester, now)
-        self._errands.move_to_end(flow)
-        if len(self._errands) > ERRANDS_KEPT:
-            self._errands.popitem(last=False)
-        for host in errand.hosts:
-            self._ask(host, control.KIND_LOCATE, flow)
-
-    def _ask(self, host: str, kind: int, body: bytes) -> None:
+        self._searches[flow] = _RelayedSearch(request, requester, now)
+        self._searches.move_to_end(flow)
+        if len(self._searches) > ERRANDS_KEPT:
+            self._searches.popitem(last=False)
+        for host in request.hosts:
+            self._query(host, control.KIND_LOCATE, flow)
+
+    def _query(self, host: str, kind: int, body: bytes) -> None:
         self._meters.counters['asked'] += 1
         self._send(host, control.pack(kind, 0, 0, body))
 
     def on_located(self, answer: control.Envelope, host: str) -> None:
-        """Take another agent's answer."""
+        """Handle another agent's answer."""
         flow, layout_revision = control.read_located(answer.body)
-        errand = self._errands.get(flow)
-        if errand is None:
+        search = self._searches.get(flow)
+        if search is None:
             return
-        errand.layout_revision = max(errand.layout_revision, layout_revision)
+        search.layout_revision = max(search.layout_revision, layout_revision)
         if answer.detail == searching.LocateResult.UNSURE:
-            self._ask(host, control.KIND_PROBE, errand.raw)
+            self._query(host, control.KIND_PROBE, search.raw)
             return
         if answer.detail == searching.LocateResult.HELD:
-            del self._errands[flow]
+            del self._searches[flow]
             self._report(
-                errand,
+                search,
                 flow,
                 searching.LocateResult.HELD,
                 [host],
                 tag=answer.tag,
             )
             return
-        errand.denied.add(host)
-        if not errand.pending_hosts:
-            del self._errands[flow]
-            self._report_denials(errand, flow)
-        elif errand.reported:
-            self._report_denials(errand, flow)
-
-    def _report_denials(self, errand: _RelayedSearch, flow: bytes) -> None:
-        news = [
+        search.denied.add(host)
+        if not search.pending_hosts:
+            del self._searches[flow]
+            self._report_denials(search, flow)
+        elif search.reported:
+            self._report_denials(search, flow)
+
+    def _report_denials(self, search: _RelayedSearch, flow: bytes) -> None:
+        new_denials = [
             host
-            for host in errand.hosts
-            if host in errand.denied and host not in errand.reported
+            for host in search.hosts
+            if host in search.denied and host not in search.reported
         ]
-        errand.reported.update(news)
-        if news:
-            self._report(errand, flow, searching.LocateResult.NOT_HELD, news)
+        search.reported.update(new_denials)
+        if new_denials:
+            self._report(
+                search, flow, searching.LocateResult.NOT_HELD, new_denials
+            )
 
     def _report(
         self,
-        errand: _RelayedSearch,
+        search: _RelayedSearch,
         flow: bytes,
         result: searching.LocateResult,
         hosts: list[str],
         *,
         tag: int = 0,
     ) -> None:
-        outcome = control.RelayResult(flow, errand.layout_revision, hosts)
+        relay_result = control.RelayResult(flow, search.layout_revision, hosts)
         self._send(
-            errand.requester, control.pack_relay_result(result, tag, outcome)
+            search.requester,
+            control.pack_relay_result(result, tag, relay_result),
         )
 
     def tick(self, now: float) -> None:
-        """Ask those again that are silent, and drop old errands."""
-        for flow, errand in list(self._errands.items()):
-            if now - errand.began > FORGET_S:
-                del self._errands[flow]
+        """Retry hosts without an answer, and drop expired searches."""
+        for flow, search in list(self._searches.items()):
+            if now - search.began > FORGET_S:
+                del self._searches[flow]
                 continue
-            if now - errand.began > PARTIAL_S and not errand.reported:
-                self._report_denials(errand, flow)
-            wait_s = ASK_AGAIN_S * 2 ** (errand.attempts - 1)
-            if now - errand.asked_at < wait_s:
+            if now - search.began > PARTIAL_S and not search.reported:
+                self._report_denials(search, flow)
+            wait_s = ASK_AGAIN_S * 2 ** (search.attempts - 1)
+            if now - search.asked_at < wait_s:
                 continue
-            errand.asked_at = now
-            errand.attempts += 1
-            for host in errand.pending_hosts:
-                self._ask(host, control.KIND_LOCATE, flow)
+            search.asked_at = now
+            search.attempts += 1
+            for host in search.pending_hosts:
+                self._query(host, control.KIND_LOCATE, flow)
--- a/packages/teaseldock/teaseldock/packets/searching.py
+++ b/packages/teaseldock/teaseldock/packets/searching.py
@@ -1,14 +1,14 @@
-"""Find the target that holds a flow which another balancer has placed.
-
-The load it answers: balancers end or start, and the fabric gives a share of
-all flows to balancers that have never seen them, hundreds within a second;
-after a loss of power all flows of the fleet come so, and no target holds them
-any more, which only all targets together can say. Balancers have slim links:
-at 5 Mbit/s and 37 targets, questions to all of them, most with a packet, took
-15 KB a flow and filled the link for ten seconds; openings and answers were
-lost with them, and half of the searches took over 0.7 s. So a balancer asks
-the likeliest targets only, and an agent, whose link is wide, asks the rest on
-its behalf. The packets wait at the balancer.
+"""Track the search for the target that holds an unknown flow.
+
+When balancers stop or start, the fabric sends a share of all flows, hundreds
+within a second, to balancers that have never seen them. After a power loss
+this happens to all flows, and no target holds them any more, which is certain
+only after all targets have answered. Balancers have slow links: at 5 Mbit/s
+and 37 targets, queries to all of them, most with a packet, took 15 KB a flow
+and filled the link for ten seconds. Openings and answers were lost as well,
+and half of the searches took over 0.7 s. A balancer therefore queries only
+the most likely targets, and an agent, which has a fast link, queries the
+others on its behalf. The balancer holds the flow's packets meanwhile.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 import enum
 import typing
 
-#: Packets kept of a flow that is searched for; a caller has at most 16 under
-#: way.
+#: Packets held for a flow during its search; a caller has at most 16 in
+#: flight.
 PACKETS_KEPT = 16
-#: Targets that the balancer asks itself. New flows are placed among these if
-#: one of them has a free slot (see placing.CANDIDATES).
+#: Number of targets that the balancer queries itself. New flows are placed on
+#: these targets if one of them has a free slot (see placing.CANDIDATES).
 ASKED_FIRST = 4
-#: Seconds after which the others are asked although some of the first are
-#: silent: five round trips between data centres.
+#: Seconds after which the other targets are queried although some of the
+#: first have not answered: five round trips between data centres.
 WIDEN_S = 0.02
-#: Seconds until a relay that has not answered is replaced by another one,
-#: doubled each time up to the longest; callers repeat their data after 0.2,
-#: 0.6 and 1.4 s.
+#: Seconds after which another relay replaces one that has not answered,
+#: doubled each time up to LONGEST_AGAIN_S; callers retransmit their data after
+#: 0.2, 0.6 and 1.4 s.
 ASK_AGAIN_S = 0.2
 LONGEST_AGAIN_S = 0.8
-#: Hosts that one relay is given: with a whole packet and all headers, 40 fit
-#: into 1,431 bytes.
+#: Maximum number of hosts in one relay request: with a whole packet and all
+#: headers, 40 hosts fit into 1,431 bytes.
 HOSTS_PER_RELAY = 40
-#: Seconds after which a search without packets is given up; a caller repeats
-#: its data within 1.6 s.
+#: Seconds after which a search expires; a caller retransmits its data within
+#: 1.6 s.
 FORGET_S = 5.0
 
 
 class LocateResult(enum.IntEnum):
-    """What an agent answers."""
+    """An agent's answer to the query whether its server holds a flow."""
 
     NOT_HELD = 0
     HELD = 1
@@ -47,13 +47,13 @@
 
 
 class Search:
-    """One search, from the first packet until all have answered."""
+    """The state of one search, from its first packet to its result."""
 
     def __init__(self, hosts: list[str], now: float) -> None:
-        """Start without having asked.
+        """Create a search that has not queried any host.
 
-        :param hosts: instances whose servers may hold the flow, the likeliest
-            first.
+        :param hosts: instances whose servers may hold the flow, the most
+            likely first.
         """
         self._hosts = hosts
         self._asked: set[str] = set()
@@ -72,39 +72,39 @@
 
     @property
     def began(self) -> float:
-        """Return when the search began, seconds."""
+        """Return the start time of the search, in seconds."""
         return self._began
 
     @property
     def layout_revision(self) -> int:
-        """Return the newest that anybody told who denied the flow.
+        """Return the newest layout revision received with a denial.
 
-        The denials prove that nobody holds the flow only if they come from
-        all targets that those who were asked know of.
+        The denials prove that no target holds the flow only if they come from
+        all targets up to this revision.
         """
         return self._layout_revision
 
     @property
     def relay_rounds(self) -> int:
-        """Return how often relays were asked."""
+        """Return the number of rounds of relay requests."""
         return self._relay_rounds
 
     @property
     def all_denied(self) -> bool:
-        """Tell whether nobody holds the flow: all were asked and said so.
+        """Return whether all hosts have denied holding the flow.
 
-        A host that is silent has not said so. Taking its silence for a no
-        would reset flows of servers that live while their agent restarts.
+        A missing answer is no denial. If it counted as one, flows of live
+        servers would be reset while their agents restart.
         """
         return self._denied.issuperset(self._hosts)
 
     @property
     def probe(self) -> typing.Any:
-        """Return the packet to ask with, the shortest that is kept."""
+        """Return the shortest held packet, or None; probes carry it."""
         return min(self._packets, key=lambda item: item.length, default=None)
 
     def add_packet(self, item: typing.Any) -> None:
-        """Keep a packet until the flow is found; the oldest go first."""
+        """Hold a packet until the search ends; evict the oldest if full."""
         if any(item.raw == kept.raw for kept in self._packets):
             return
         if len(self._packets) >= PACKETS_KEPT:
@@ -112,30 +112,30 @@
         self._packets.append(item)
 
     def take_packets(self) -> list[typing.Any]:
-        """Return the packets kept, and keep them no longer."""
+        """Remove and return the held packets."""
         packets, self._packets = self._packets, []
         return packets
 
     def note_denial(self, host: str, layout_revision: int = 0) -> None:
-        """Note that a host doesn't hold the flow.
+        """Record that a host doesn't hold the flow.
 
-        :param layout_revision: the newest that it, or who asked it, told; 0
-            if nobody did.
+        :param layout_revision: newest layout revision that the host or its
+            relay reported; 0 if none.
         """
         self._layout_revision = max(self._layout_revision, layout_revision)
         self._answered.add(host)
         self._denied.add(host)
 
     def note_unsure(self, host: str) -> None:
-        """Note that a host can't tell without a packet."""
+        """Record that a host can't answer without a packet of the flow."""
         self._answered.add(host)
 
     def set_hosts(self, hosts: list[str]) -> None:
-        """Take over the hosts that may hold the flow by now."""
+        """Replace the hosts that may hold the flow."""
         self._hosts = hosts
 
     def hosts_to_ask(self) -> list[str]:
-        """Return the hosts that the balancer asks itself, each once."""
+        """Return the hosts that the balancer has yet to query itself."""
         return [
             host
             for host in self._hosts[:ASKED_FIRST]
@@ -143,11 +143,11 @@
         ]
 
     def asked(self, host: str) -> None:
-        """Note that the balancer has asked a host."""
+        """Record that the balancer has queried a host."""
         self._asked.add(host)
 
     def hosts_for_relays(self, now: float) -> list[str]:
-        """Return the hosts that relays are to ask now, if any."""
+        """Return the hosts that relays must query now, if any."""
         if self._relayed_at is None:
             waits = not self._answered.issuperset(self._hosts[:ASKED_FIRST])
             if waits and now - self._began < WIDEN_S:
@@ -161,10 +161,10 @@
         return min(LONGEST_AGAIN_S, doubled)
 
     def relayed(self, now: float) -> None:
-        """Note that relays were asked."""
+        """Record that a round of relay requests was sent."""
         self._relayed_at = now
         self._relay_rounds += 1
 
     def stale(self, now: float) -> bool:
-        """Tell whether the search has been going on for too long."""
+        """Return whether the search has expired."""
         return now - self._began > FORGET_S
--- a/packages/teaseldock/teaseldock/packets/tracking.py
+++ b/packages/teaseldock/teaseldock/packets/tracking.py
@@ -1,4 +1,4 @@
-"""See a backend server's flows and load in the packets that pass."""
+"""Derive a backend server's flows and load from the packets forwarded."""
 
 from __future__ import annotations
 
@@ -12,43 +12,44 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import packet
 
-#: Flows tracked; a backend server holds 2,000 on the users' sheets. A flow
-#: beyond is carried as well, it is only missing in the load.
+#: Maximum number of tracked flows; the users' requirements state 2,000 for a
+#: backend server. Packets of further flows are forwarded as well, but those
+#: flows are missing in the load.
 FLOWS_TRACKED = 8_000
-#: Seconds without packets, beyond the configured idle timeout, after which a
-#: flow counts as ended: callers repeat a request for some seconds.
+#: Seconds added to the configured idle timeout before a flow without packets
+#: is dropped: callers repeat a request for some seconds.
 IDLE_MARGIN_S = 5.0
-#: Seconds for which a flow stays known after the server has ended it, or has
-#: shown that it isn't its own: it
-#: repeats its last packet eight times, for 9.4 s, and answers what its caller
-#: sends meanwhile.
+#: Seconds for which a flow is kept after the server has ended it or is known
+#: not to hold it. The server repeats its last packet eight times, for 9.4 s,
+#: and answers packets of the caller during that time.
 ENDED_S = 10.0
-#: Seconds for which a flow that is opening counts as a request: its first
-#: request is one round trip to the caller behind, 2 to 6 ms.
+#: Seconds for which an opening flow counts as a request: the first request
+#: follows after one round trip to the caller, 2 to 6 ms.
 OPENING_S = 0.1
-#: Time constant of the mean load, seconds: two to four requests of a feed.
+#: Time constant of the mean load, in seconds: two to four requests of a feed.
 MEAN_S = 2.0
-#: Openings without an answer after which a server counts as silent, and the
-#: seconds that the oldest must have waited: a server answers in under 1 ms.
+#: A server counts as unresponsive if this many openings are unanswered, the
+#: oldest of them for SILENT_S seconds; a server answers in under 1 ms.
 SILENT_OPENINGS = 2
 SILENT_S = 0.15
-#: Seconds after which a caller gives an opening up.
+#: Seconds after which a caller abandons an opening.
 ATTEMPT_S = 1.4
 
 
-#: Seconds after which callers repeat an opening, by the count that the copy
-#: carries.
+#: Seconds after the first opening at which the caller sent each copy, indexed
+#: by the copy number that the opening carries.
 COPY_DELAYS_S = (0.0, 0.2, 0.6)
-#: Bytes that a server sends over one flow at most: a minute of its answers.
-#: The numbers of two servers that accepted one opening differ by more, but for
-#: one pair in 256.
+#: Maximum number of bytes that a server sends over one flow: one minute of
+#: answers. The initial sequence numbers of two servers that accept the same
+#: opening differ by more, except for one pair in 256.
 FLOW_BYTES = 1 << 24
+#: Half the number of 32-bit sequence numbers, and the number of them.
 _HALF = 1 << 31
 _WHOLE = 1 << 32
 
 
 class _Flow:
-    """One flow as its packets show it."""
+    """State of one flow, derived from its packets."""
 
     __slots__ = (
         'delay_s',
@@ -61,22 +62,27 @@
     )
 
     def __init__(self, delay_s: float, now: float) -> None:
-        # How long the caller had waited when the flow opened.
+        # Seconds that the caller had waited when the flow opened.
         self.delay_s = delay_s
-        # Number with which the server accepted it, if that was seen.
+        # Initial sequence number of the server, if its acceptance was seen.
         self.start: int | None = None
-        # Whether the server has shown that the caller took its answer.
+        # Whether a later packet of the server shows that the caller uses
+        # its acceptance.
         self.confirmed = False
         self.asked_at: float | None = None
-        # Number after the last byte that the caller has sent.
+        # Sequence number after the last byte that the caller has sent.
         self.received: int | None = None
-        # The same of the server.
+        # Sequence number after the last byte that the server has sent.
         self.sent: int | None = None
         self.seen_at = now
 
 
 class _Opening(typing.NamedTuple):
-    """An opening that the server has not answered."""
+    """An opening that the server has not answered.
+
+    :ivar at: time at which its first copy was seen, in seconds.
+    :ivar copy: number of copies that the caller had sent before that one.
+    """
 
     at: float
     copy: int
@@ -85,17 +91,18 @@
 class NewRequest(typing.NamedTuple):
     """A new request.
 
-    :ivar since: when its caller began, as far as packets show.
+    :ivar since: start of the caller's wait, in seconds; for the first request
+        of a flow it includes the wait for the opening.
     """
 
     since: float
 
 
 class Tracker:
-    """Flows and requests of one backend server."""
+    """The flows and pending requests of one backend server."""
 
     def __init__(self, now: float) -> None:
-        """Start without flows."""
+        """Create a tracker without flows."""
         self._flows: collections.OrderedDict[bytes, _Flow] = (
             collections.OrderedDict()
         )
@@ -105,9 +112,9 @@
         self._not_held: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
-        # Of the flows here, and some that have ended a moment ago.
+        # Of the tracked flows and those that have recently ended.
         self._addresses: set[bytes] = set()
-        self._asked = 0
+        self._pending_requests = 0
         self._mean_requests = 0.0
         self._mean_updated_at = now
         self._unanswered_openings: collections.OrderedDict[bytes, _Opening] = (
@@ -116,25 +123,26 @@
 
     @property
     def flows(self) -> int:
-        """Return the number of flows held."""
+        """Return the number of tracked flows."""
         return len(self._flows)
 
     @property
     def addresses(self) -> set[bytes]:
-        """Return the packed addresses whose flows are here, or just were."""
+        """Return the packed service addresses of current and recent flows."""
         return self._addresses
 
     @property
     def asked(self) -> int:
-        """Return the number of flows whose request has no answer yet."""
-        return self._asked
+        """Return the number of flows with an unanswered request."""
+        return self._pending_requests
 
     def holds(self, flow: bytes) -> bool:
-        """Tell whether packets showed that the server holds a flow.
+        """Return whether packets have shown that the server holds a flow.
 
-        One that it has ended counts. Its caller may be sending a request just
-        then; denied here, the flow would be reset by the system, or sought at
-        other servers, while its own would have ended it properly.
+        A flow that the server has recently ended counts as held. Its caller
+        may be sending a request at that moment. If the agent answered that
+        the flow is not held, balancers would reset it or search for it at
+        other servers, although its server would close it properly.
         """
         tracked = self._flows.get(flow)
         return flow in self._ended or (
@@ -142,20 +150,21 @@
         )
 
     def half_open(self, flow: bytes) -> bool:
-        """Tell whether the server has accepted a flow, and no more is known.
+        """Return whether a flow is tracked but not confirmed.
 
-        Copies of an opening go to several servers, and all may accept; the
-        caller takes one answer.
+        The server may only have accepted it: copies of an opening may be sent
+        to several servers. All of them may accept, and the caller uses one
+        acceptance.
         """
         tracked = self._flows.get(flow)
         return tracked is not None and not tracked.confirmed
 
     def acknowledges_acceptance(self, item: packet.Packet) -> bool:
-        """Tell whether a caller's packet takes this server's acceptance.
+        """Return whether a caller's packet acknowledges the acceptance.
 
         Until the server has sent data, the caller acknowledges exactly the
-        number with which it accepted. Another server's number is the same in
-        one of four billion.
+        server's initial sequence number. Another server has the same number
+        in one of four billion cases.
         """
         tracked = self._flows.get(item.flow)
         if tracked is None or tracked.start is None or item.resetting:
@@ -163,14 +172,14 @@
         return (item.acknowledged - tracked.start) % _WHOLE <= 1
 
     def is_stray_reset(self, item: packet.Packet) -> bool:
-        """Tell whether a server resets a flow that it never showed to hold.
-
-        A server that has merely accepted an opening resets the flow when its
-        caller acknowledges another server's number, and one that has just
-        started resets whatever it doesn't know. Passed on, that reset ends a
-        flow that is open at another server; it carries the very numbers that
-        the caller expects. What tells it apart is that no packet of the
-        server has shown the flow before.
+        """Return whether a server's reset is for a flow that it never held.
+
+        A server that has only accepted an opening resets the flow when the
+        caller acknowledges another server's number, and a server that has
+        just started resets every unknown flow. Such a reset carries the
+        sequence numbers that the caller expects, so forwarding it would end a
+        flow that is open at another server. It is recognised by the lack of
+        an earlier packet of the server for this flow.
         """
         tracked = self._flows.get(item.flow)
         if item.flow in self._ended:
@@ -180,27 +189,27 @@
         )
 
     def mark_not_held(self, flow: bytes, now: float) -> None:
-        """Note that a flow is none of the server's, whatever it answers."""
+        """Record that the server does not hold a flow."""
         self.forget(flow)
         self._not_held[flow] = now
         if len(self._not_held) > FLOWS_TRACKED:
             self._not_held.popitem(last=False)
 
     def is_marked_not_held(self, flow: bytes) -> bool:
-        """Tell whether a flow is known to be none of the server's."""
+        """Return whether the server is known not to hold a flow."""
         return flow in self._not_held
 
     def has_pending_request(self, flow: bytes) -> bool:
-        """Tell whether a request of a flow has no answer yet."""
+        """Return whether a flow has an unanswered request."""
         tracked = self._flows.get(flow)
         return tracked is not None and tracked.asked_at is not None
 
     def belongs(self, item: packet.Packet) -> bool:
-        """Tell whether a caller's packet is for this server's flow.
+        """Return whether a caller's packet may belong to a flow held here.
 
-        Without this check, packets of a caller that took another server's
-        answer end here: a server may swallow them, and the balancer takes
-        that for the flow's place.
+        It does not if the caller uses another server's acceptance. Without
+        this check, this server may silently drop such packets, and the
+        balancer would go on sending them here.
         """
         if item.flow in self._not_held:
             return False
@@ -210,7 +219,7 @@
         return (item.acknowledged - tracked.start) % _WHOLE < FLOW_BYTES
 
     def responsive(self, now: float) -> bool:
-        """Tell whether the server answers openings."""
+        """Return whether the server answers openings."""
         if len(self._unanswered_openings) < SILENT_OPENINGS:
             return True
         oldest = next(iter(self._unanswered_openings.values()))
@@ -219,7 +228,7 @@
     def from_caller(
         self, item: packet.Packet, now: float
     ) -> NewRequest | None:
-        """Note a packet of a caller; return a request that begins with it."""
+        """Record a caller's packet; return the request that it starts."""
         if item.opening:
             self._unanswered_openings.setdefault(
                 item.flow, _Opening(now, item.acknowledged)
@@ -234,7 +243,7 @@
         if tracked is None:
             if not item.length or item.flow in self._ended:
                 return None
-            # This process is younger than the flow.
+            # The flow was opened before this process started.
             tracked = self._add_flow(item.flow, 0.0, now)
         tracked.seen_at = now
         if not item.length or not self._is_new(item, tracked.received):
@@ -244,19 +253,23 @@
             return None
         self._update_mean(now)
         tracked.asked_at = now
-        self._asked += 1
+        self._pending_requests += 1
         since = now - tracked.delay_s
         tracked.delay_s = 0.0
         return NewRequest(since)
 
     @staticmethod
     def _is_new(item: packet.Packet, highest: int | None) -> bool:
-        """Tell data that was not sent before from a repetition.
+        """Return whether a packet carries data that was not sent before.
 
-        Both ends repeat what was acknowledged late, also after the other has
-        gone on. A repeated request, taken for a new one, would occupy a slot
-        until its timeout; a repeated answer would end the next request, whose
-        own answer then frees no slot.
+        Both ends retransmit data that is acknowledged late, even after the
+        other end has sent more. A retransmitted request that counted as new
+        would occupy a slot until its timeout. A retransmitted answer that
+        counted as new would end the next request, whose own answer would then
+        free no slot.
+
+        :param highest: sequence number after the last byte seen so far, or
+            None if there is none.
         """
         if highest is None:
             return True
@@ -271,9 +284,12 @@
         return tracked
 
     def from_server(self, item: packet.Packet, now: float) -> float | None:
-        """Note a packet of the server; return a request's time in seconds.
+        """Record a server's packet; return a request's duration in seconds.
+
+        The duration is the time from the first packet of the request to the
+        first packet of its answer.
 
-        The time runs from the request's first packet to the answer's first.
+        :returns: None if the packet does not start an answer.
         """
         opening = self._unanswered_openings.get(item.flow)
         self._unanswered_openings.clear()
@@ -304,7 +320,7 @@
         return taken_s
 
     def _mark_ended(self, flow: bytes, now: float) -> None:
-        """Note that the server has ended a flow."""
+        """Record that the server has ended a flow."""
         self.forget(flow)
         self._ended[flow] = now
         if len(self._ended) > FLOWS_TRACKED:
@@ -316,21 +332,22 @@
         self._update_mean(now)
         taken_s = now - tracked.asked_at
         tracked.asked_at = None
-        self._asked -= 1
+        self._pending_requests -= 1
         return taken_s
 
     def note_returned(self, flow: bytes) -> None:
-        """Note that the server does not hold a flow."""
+        """Drop a flow whose packet the server has returned."""
         self._unanswered_openings.pop(flow, None)
         self._ended.pop(flow, None)
         self.forget(flow)
 
     def server_restarted(self) -> None:
-        """Note that the server has started anew and knows no older flow.
+        """Mark all flows as unconfirmed, since the server has restarted.
 
-        Its entry shows the start late: some flows here may be younger than
-        it. So all are in doubt until the server shows them again; taking them
-        for lost would get those reset.
+        The server's entry arrives after the restart, so some tracked flows
+        may belong to the new run. All flows stay unconfirmed until the server
+        sends packets for them again. If they were dropped as lost, the flows
+        of the new run would be reset.
         """
         for tracked in self._flows.values():
             tracked.start = None
@@ -338,20 +355,20 @@
             tracked.asked_at = None
             tracked.received = None
             tracked.sent = None
-        self._asked = 0
+        self._pending_requests = 0
         self._mean_requests = 0.0
         self._unanswered_openings.clear()
 
     def forget(self, flow: bytes) -> None:
-        """Drop a flow that has ended."""
+        """Stop tracking a flow."""
         tracked = self._flows.pop(flow, None)
         if tracked is not None and tracked.asked_at is not None:
-            self._asked -= 1
+            self._pending_requests -= 1
 
     def sweep(self, now: float, *, idle_s: float) -> None:
-        """Drop flows without packets for long.
+        """Drop expired flows and openings.
 
-        :param idle_s: the longest time for which a flow may be idle.
+        :param idle_s: idle timeout of an open flow, in seconds.
         """
         stale = [
             flow
@@ -360,12 +377,12 @@
         ]
         for flow in stale:
             self.forget(flow)
-        for remembered in (self._ended, self._not_held):
-            while remembered:
-                flow, since = next(iter(remembered.items()))
+        for recent_flows in (self._ended, self._not_held):
+            while recent_flows:
+                flow, since = next(iter(recent_flows.items()))
                 if now - since < ENDED_S:
                     break
-                del remembered[flow]
+                del recent_flows[flow]
         held = itertools.chain(self._flows, self._ended)
         self._addresses = {
             flows.packed_service_endpoint(flow) for flow in held
@@ -377,15 +394,17 @@
             del self._unanswered_openings[flow]
 
     def _update_mean(self, now: float) -> None:
-        """Let the mean follow the present number up to now."""
+        """Update the moving average of the pending requests up to now."""
         share = min(1.0, (now - self._mean_updated_at) / MEAN_S)
-        self._mean_requests += (self._asked - self._mean_requests) * share
+        self._mean_requests += (
+            self._pending_requests - self._mean_requests
+        ) * share
         self._mean_updated_at = now
 
     def load(self, slots: int, now: float) -> load.Load:
-        """Return the load for a report.
+        """Return the server's load.
 
-        :param slots: requests that the server runs at once.
+        :param slots: number of requests that the server runs at once.
         """
         self._update_mean(now)
         opening = sum(
@@ -393,7 +412,7 @@
             for item in self._unanswered_openings.values()
             if now - item.at < OPENING_S
         )
-        present = self._asked + opening
+        present = self._pending_requests + opening
         running = min(slots, present)
         return load.Load(
             running,
