--- a/tests/packets/test_dispatching.py
+++ b/tests/packets/test_dispatching.py
@@ -15,20 +15,22 @@
 SERVICE_S = 0.063
 
 
-def play(
+def simulate(
     *, ordered: bool, backlog: int, per_s: float, seconds: float, seed: int
 ) -> dict[str, int]:
-    """Let a backlog and then steady requests go through one server.
+    """Simulate a backlog, followed by steady requests, at one server.
 
-    :param ordered: by the queue; else in the order of arrival.
-    :returns: how many were in time, late or not served before the timeout.
+    :param ordered: whether the queue orders the requests; else they run in the
+        order of arrival.
+    :returns: counts of requests in time, late and not served before the
+        timeout.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     queue = dispatching.RequestQueue()
     arrivals = [0.0] * backlog
     now = 0.0
     while now < seconds:
-        now += chance.expovariate(per_s)
+        now += rng.expovariate(per_s)
         arrivals.append(now)
     ends: list[tuple[float, int]] = []
     fifo: list[int] = []
@@ -36,7 +38,7 @@
     counts = {'in time': 0, 'late': 0, 'lost': 0}
 
     def begin(number: int, at: float) -> None:
-        taken = SERVICE_S * chance.lognormvariate(-0.125, 0.5)
+        taken = SERVICE_S * rng.lognormvariate(-0.125, 0.5)
         heapq.heappush(ends, (at + taken, number))
 
     def end(number: int, at: float) -> None:
@@ -61,8 +63,10 @@
             break
         flow = number.to_bytes(4, 'big')
         if ordered:
-            waits = queue.offer(flow, FEED, slots=SLOTS - 1, since=at, now=at)
-            if waits is None:
+            waiting = queue.offer(
+                flow, FEED, slots=SLOTS - 1, since=at, now=at
+            )
+            if waiting is None:
                 begin(number, at)
         elif free:
             free -= 1
@@ -75,34 +79,34 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_a_backlog_does_not_make_everybody_late(seed: int) -> None:
-    """All requests miss their objective for seconds after a loss of power.
+    """A backlog does not make all later requests miss their objective.
 
-    Symptom: servers are busy all the time, and nearly nothing is in time.
-    Events: 60 requests come at once, then 45 a second, at 4 slots and 63 ms.
-    Cause: in the order of arrival, each waits behind the whole backlog.
+    60 requests arrive at once, then 45 a second, at 4 slots and 63 ms each. In
+    the order of arrival each request waits behind the whole backlog, and
+    nearly none is in time.
 
     With five seeds, of 131 to 151 requests: 12 to 40 in time in the order of
     arrival, 88 to 101 ordered; lost 0, and 0 to 7.
     """
     load = {'backlog': 60, 'per_s': 45.0, 'seconds': 2.0, 'seed': seed}
-    before = play(ordered=False, **load)
-    after = play(ordered=True, **load)
-    assert after['in time'] >= 2 * before['in time']
-    assert after['lost'] <= 8
+    unordered = simulate(ordered=False, **load)
+    prioritised = simulate(ordered=True, **load)
+    assert prioritised['in time'] >= 2 * unordered['in time']
+    assert prioritised['lost'] <= 8
 
 
 @pytest.mark.parametrize('seed', range(5))
 def test_ordering_costs_nothing_below_capacity(seed: int) -> None:
     """At 70 % of the capacity, ordering serves as many in time."""
     load = {'backlog': 0, 'per_s': 44.0, 'seconds': 20.0, 'seed': seed}
-    before = play(ordered=False, **load)
-    after = play(ordered=True, **load)
-    assert after['in time'] >= before['in time'] - 8
-    assert after['lost'] == 0
+    unordered = simulate(ordered=False, **load)
+    prioritised = simulate(ordered=True, **load)
+    assert prioritised['in time'] >= unordered['in time'] - 8
+    assert prioritised['lost'] == 0
 
 
 def full_queue() -> dispatching.RequestQueue:
-    """Return a queue whose server has all that it may have."""
+    """Return a queue whose server has all the requests that it may have."""
     queue = dispatching.RequestQueue()
     for number in range(SLOTS + dispatching.AHEAD):
         flow = b'running%d' % number
@@ -111,7 +115,7 @@
 
 
 def test_rank_goes_before_time_left() -> None:
-    """Of two requests in time, the one of higher rank goes first."""
+    """Of two requests in time, the one of higher priority goes first."""
     queue = full_queue()
     queue.offer(b'feed', FEED, slots=SLOTS, since=0.0, now=0.0)
     queue.offer(b'order', ORDER, slots=SLOTS, since=0.01, now=0.01)
@@ -121,7 +125,7 @@
 
 
 def test_what_can_no_longer_be_in_time_waits() -> None:
-    """A request that misses its objective anyway lets others go first."""
+    """A request that will miss its objective lets others go first."""
     queue = full_queue()
     queue.offer(b'old', ORDER, slots=SLOTS, since=0.0, now=0.0)
     queue.offer(b'new', FEED, slots=SLOTS, since=0.5, now=0.5)
@@ -132,12 +136,11 @@
 
 
 def test_an_order_is_not_lost_for_feeds_in_time() -> None:
-    """Orders time out in the queue while feeds are served in time.
+    """A late order is released before its timeout.
 
-    Symptom: orders that waited long are never run.
-    Events: an order misses its objective, and feeds that can meet theirs keep
-    coming until the order's timeout.
-    Cause: what is late waited for all that is in time, without end.
+    An order misses its objective, and feeds that can meet theirs keep arriving
+    until the order's timeout. If late requests always waited for those in
+    time, the order would never run.
     """
     queue = full_queue()
     queue.offer(b'order', ORDER, slots=SLOTS, since=0.0, now=0.0)
@@ -148,12 +151,11 @@
 
 
 def test_a_lost_request_frees_its_slot() -> None:
-    """A server that lost requests gets no more of them, for good.
+    """A slot is freed when the server loses a request.
 
-    Symptom: the queue grows while the server is idle.
-    Events: the server is given as many requests as it may have, loses them
-    without an answer, and new requests come.
-    Cause: a slot was freed by an answer only.
+    The server gets as many requests as it may have, loses them without an
+    answer, and new requests arrive. If only an answer freed a slot, the queue
+    would grow while the server is idle.
     """
     queue = full_queue()
     queue.offer(b'next', FEED, slots=SLOTS, since=2.0, now=2.0)
@@ -174,7 +176,7 @@
 
 
 def test_memory_is_bounded() -> None:
-    """Neither requests nor packets are kept without bound."""
+    """The numbers of held requests and packets are bounded."""
     queue = full_queue()
     for number in range(dispatching.REQUESTS_HELD + 50):
         flow = b'waiting%d' % number
@@ -184,8 +186,8 @@
     assert kept.count(True) == dispatching.PACKETS_HELD
 
 
-class Recovery:
-    """One cold server with a backlog, and requests that go on coming."""
+class ColdServerSimulation:
+    """One cold server with a backlog and a steady arrival of requests."""
 
     SLOTS = 2
     SERVICE_S = 0.08
@@ -199,23 +201,23 @@
     ORDER = dispatching.Terms(0.529, 3.3, 1, guarded=True)
 
     def __init__(self, seed: int) -> None:
-        """Play it."""
+        """Run the simulation."""
         self._random = random.Random(seed)
         self._queue = dispatching.RequestQueue()
         self._events: list = []
         self._busy = 0
-        self._inside: list[bytes] = []
+        self._server_queue: list[bytes] = []
         self._requests: dict[bytes, tuple[float, dispatching.Terms]] = {}
         self.answered: dict[bytes, float] = {}
-        self._plan()
+        self._schedule_arrivals()
         while self._events:
             now, _, what, flow = heapq.heappop(self._events)
             what(flow, now)
 
-    def _at(self, when: float, what: object, flow: bytes = b'') -> None:
+    def _schedule(self, when: float, what: object, flow: bytes = b'') -> None:
         heapq.heappush(self._events, (when, self._random.random(), what, flow))
 
-    def _plan(self) -> None:
+    def _schedule_arrivals(self) -> None:
         starts = [
             (self._random.uniform(0, 1), self._random.uniform(0.3, 2.0))
             for _ in range(self.BACKLOG)
@@ -231,31 +233,31 @@
             guarded = self._random.random() < self.ORDERS
             terms = self.ORDER if guarded else self.FEED
             self._requests[flow] = (at - waited, terms)
-            self._at(at, self._arrive, flow)
+            self._schedule(at, self._arrive, flow)
         for tick in range(round(20 * (self.SECONDS + 4))):
-            self._at(tick / 20, self._tick)
+            self._schedule(tick / 20, self._tick)
 
     def _arrive(self, flow: bytes, now: float) -> None:
         since, terms = self._requests[flow]
         if not self._queue.offer(
             flow, terms, slots=self.SLOTS, since=since, now=now
         ):
-            self._give(flow, now)
+            self._start(flow, now)
 
-    def _give(self, flow: bytes, now: float) -> None:
+    def _start(self, flow: bytes, now: float) -> None:
         if self._busy == self.SLOTS:
-            self._inside.append(flow)
+            self._server_queue.append(flow)
             return
         self._busy += 1
         mean = self.SERVICE_S * (self.COLD if now < self.COLD_S else 1.0)
         taken = mean * self._random.lognormvariate(-0.125, 0.5)
-        self._at(now + taken, self._end, flow)
+        self._schedule(now + taken, self._end, flow)
 
     def _end(self, flow: bytes, now: float) -> None:
         self._busy -= 1
         self.answered[flow] = now - self._requests[flow][0]
-        if self._inside:
-            self._give(self._inside.pop(0), now)
+        if self._server_queue:
+            self._start(self._server_queue.pop(0), now)
         self._queue.finish(flow, now)
         self._release(now)
 
@@ -265,10 +267,10 @@
 
     def _release(self, now: float) -> None:
         for item in self._queue.release(slots=self.SLOTS, now=now):
-            self._give(item.flow, now)
+            self._start(item.flow, now)
 
     def share(self, *, guarded: bool, within_s: float) -> float:
-        """Return how many of a kind were answered within a time."""
+        """Return the share of a kind of requests answered within a time."""
         flows = [
             flow
             for flow, (_, terms) in self._requests.items()
@@ -279,19 +281,25 @@
 
 
 def test_cold_servers_do_not_lose_orders() -> None:
-    """Orders are lost and feeds miss their objective behind cold servers.
+    """Orders are not lost behind cold servers.
 
-    Symptom: after a loss of power one order in ten is never answered.
-    Events: 50 requests come back within a second, to two slots that take
-    twice as long for five seconds; 72 % of the capacity goes on coming.
-    Cause: the time that a request needs was the service time seen at a server
-    with free slots, so that under load none was seen: 30 ms in place of 250.
+    50 requests return within a second, to two slots that take twice as long
+    for five seconds, and requests at 72 % of the capacity keep arriving. If
+    the time that a request needs were the service time measured with free
+    slots, none would be measured under load: 30 ms would be assumed instead of
+    250 ms. One order in ten would never be answered.
 
-    Mean of twelve seeds: feeds in time 0.613, orders lost 0.109 before; 0.649
-    and 0.002 after.
+    Mean of twelve seeds: feeds in time 0.613, orders lost 0.109 with that
+    estimate; 0.649 and 0.002 with the time from release to answer.
     """
-    plays = [Recovery(seed) for seed in range(12)]
-    lost = [1 - play.share(guarded=True, within_s=3.3) for play in plays]
-    timely = [play.share(guarded=False, within_s=0.512) for play in plays]
-    assert sum(lost) / len(plays) < 0.02
-    assert sum(timely) / len(plays) > 0.63
+    simulations = [ColdServerSimulation(seed) for seed in range(12)]
+    lost = [
+        1 - simulation.share(guarded=True, within_s=3.3)
+        for simulation in simulations
+    ]
+    feeds_in_time = [
+        simulation.share(guarded=False, within_s=0.512)
+        for simulation in simulations
+    ]
+    assert sum(lost) / len(simulations) < 0.02
+    assert sum(feeds_in_time) / len(simulations) > 0.63
--- a/tests/packets/test_flows.py
+++ b/tests/packets/test_flows.py
@@ -12,12 +12,11 @@
 
 
 def test_feeds_outlive_their_balancer() -> None:
-    """A feed stalls when the balancer that placed it dies.
+    """Feeds are answered after the balancer that placed them dies.
 
-    Symptom: no answer on a flow whose server lives.
-    Events: a balancer is killed; the fabric gives its flows to the others,
-    which have never seen them.
-    Cause: only the dead balancer knew the target.
+    The fabric sends their packets to balancers that have never seen them. If
+    only the dead balancer had the target, the feeds would get no answer
+    although their servers are up.
     """
     world = packet_world.small_world()
     feeds = serve_feeds(world, 40)
@@ -33,14 +32,13 @@
 def test_a_flow_that_its_server_closes_is_still_its_own(
     balancers_restart: bool,
 ) -> None:
-    """A feed that was idle is reset by the system, or sought without end.
-
-    Symptom: packets of an open flow go to a server that has just started, and
-    for seconds none to its own.
-    Events: a server closes a flow that was idle for 12 s; at that moment its
-    caller asks, through a balancer that has just started and searches.
-    Cause: the agent forgot the flow at the server's end of it, and denied it;
-    the server, which would have ended it properly, got no packet.
+    """A flow that its server has just closed still belongs to that server.
+
+    Servers close flows that were idle for 12 s while the callers send, through
+    balancers that may have restarted and search for the flows. If an agent
+    dropped a flow when its server closed it, the agent would answer that the
+    flow is not held. The server, which would end the flow properly, would get
+    no packet, and packets of the flow would go to other servers for seconds.
     """
     world = packet_world.small_world()
     feeds = serve_feeds(world, 20)
@@ -64,7 +62,7 @@
 
 
 def test_feeds_outlive_all_balancers() -> None:
-    """All balancers are killed at once and start without memory."""
+    """Feeds are answered after all balancers restart without state."""
     world = packet_world.small_world()
     feeds = serve_feeds(world, 40)
     for process in world.balancers():
@@ -76,12 +74,11 @@
 
 
 def test_feeds_outlive_a_changed_table() -> None:
-    """New targets come first in a flow's rank; the flow stays.
+    """Flows stay at their server when new targets rank higher.
 
-    Symptom: a feed is reset though its server lives.
-    Events: targets are added, then a balancer that never saw the flow gets
-    its packets.
-    Cause: the flow was looked for only where the new table puts it.
+    A balancer that never saw the flows gets their packets after targets were
+    added. If it searched only where the new table puts the flows, it would
+    reset them although their servers are up.
     """
     world = packet_world.small_world()
     feeds = serve_feeds(world, 30)
@@ -99,7 +96,7 @@
 
 
 def test_feeds_outlive_their_agent() -> None:
-    """Agents are killed one by one and start again beside their servers."""
+    """Feeds are answered after all agents are killed and restarted in turn."""
     world = packet_world.small_world()
     feeds = serve_feeds(world, 30)
     for host in list(world.servers):
@@ -113,12 +110,11 @@
 
 
 def test_an_agent_that_is_away_breaks_no_flow() -> None:
-    """A feed is reset while its agent restarts.
+    """No flow is reset while its agent restarts.
 
-    Symptom: a reset that the server didn't send, on a flow that it holds.
-    Events: an agent is stopped; its flows' packets come to a balancer that
-    doesn't know them; all other servers return them.
-    Cause: silence of the last candidate was taken for a no.
+    Balancers without state search for flows whose agent is stopped, and all
+    other servers return the packets. If the missing answer counted as a
+    denial, the balancers would reset flows that their server holds.
     """
     world = packet_world.small_world()
     feeds = serve_feeds(world, 30)
@@ -132,14 +128,14 @@
     assert all(feed.outcome == 'answered' for feed in feeds)
 
 
-@pytest.mark.parametrize('word', ['draining', 'gone'])
-def test_a_leaving_target_gets_no_new_flow(word: str) -> None:
-    """New flows stop well within three seconds; those that are open stay."""
+@pytest.mark.parametrize('change', ['draining', 'gone'])
+def test_a_leaving_target_gets_no_new_flow(change: str) -> None:
+    """New flows stop within three seconds; open flows stay."""
     world = packet_world.small_world()
     feeds = serve_feeds(world, 20)
     server = world.servers['10.0.1.2']
     server.draining = True
-    if word == 'draining':
+    if change == 'draining':
         world.store.put(server)
     else:
         world.store.remove(server.identifier)
@@ -157,36 +153,35 @@
 
 
 def test_an_address_used_again_gets_nothing_of_its_former_service() -> None:
-    """Orders arrive at ticket intake.
+    """A reassigned address gets no flows of its previous service.
 
-    Symptom: a server gets flows of another service.
-    Events: a server dies; its address goes to a server of another service
-    while a balancer still has the old entry.
-    Cause: the address alone was taken for the target.
+    A server dies, and its address goes to a server of another service while
+    the store is down and balancers have the old entry. If the address alone
+    identified the target, the new server would get flows of the old service.
     """
     world = packet_world.small_world()
     server = world.servers['10.0.1.1']
     server.crash()
     world.store.up = False
-    taken = packet_server.Server(
+    replacement = packet_server.Server(
         world, '10.0.1.1', service='tickets', slots=2, service_s=0.01
     )
-    world.servers['10.0.1.1'] = taken
+    world.servers['10.0.1.1'] = replacement
     world.start('10.0.1.1')
     for _ in range(60):
         world.request()
         world.run(0.01)
     world.run(1.0)
-    assert not taken.opened
+    assert not replacement.opened
     assert all(item.outcome == 'answered' for item in world.requests)
 
 
 def test_a_dark_target_costs_one_copy() -> None:
-    """All openings to a dead instance wait until they time out.
+    """An opening to a dead instance costs the caller one copy.
 
-    Symptom: a share of new flows takes more than a second to open.
-    Events: an instance loses power; its entry stays for some seconds.
-    Cause: copies of an opening went where the first had been lost.
+    An instance loses power, and its entry stays for some seconds. If copies of
+    an opening were sent to the same instance, a share of new flows would take
+    more than a second to open.
     """
     world = packet_world.small_world()
     world.servers['10.0.1.1'].silent = True
@@ -202,7 +197,7 @@
 
 
 def test_a_server_without_its_port_is_avoided() -> None:
-    """A silent server beside a living agent gets no more new flows."""
+    """A silent server beside a running agent gets no more new flows."""
     world = packet_world.small_world()
     world.servers['10.0.1.1'].silent = True
     for _ in range(80):
@@ -215,7 +210,10 @@
 
 
 def test_no_route_is_refused_at_once() -> None:
-    """An opening to an address without a route is reset, and runs nowhere."""
+    """An opening to an address without a route is reset at once.
+
+    It reaches no server.
+    """
     world = packet_world.small_world()
     world.store.configure(2, [packet_world.route('dispatch', port=444)])
     world.run(0.5)
@@ -227,11 +225,11 @@
 
 
 def test_requests_wait_for_the_first_word_of_the_store() -> None:
-    """Callers use up their tries while a balancer starts.
+    """Openings wait for the store's first answer after a start.
 
-    Symptom: requests fail within 20 ms after a start.
-    Events: all processes start; openings come before the store has answered.
-    Cause: without a configuration, every address was one without a route.
+    All processes start, and openings arrive before the store has answered. If
+    a balancer without a configuration refused them, callers would use up their
+    retries within 20 ms.
     """
     world = packet_world.small_world()
     for host in list(world.processes):
@@ -243,7 +241,7 @@
 
 
 def test_shares_of_a_route_are_kept_by_every_balancer() -> None:
-    """A flow of a split route goes to one service, whoever is asked."""
+    """Every balancer assigns a flow of a split route to the same service."""
     world = packet_world.small_world()
     world.add_server('10.0.2.1', service='next', slots=2, service_s=0.01)
     split = packet_world.route('dispatch')._replace(
@@ -266,13 +264,12 @@
 
 
 def test_a_late_answer_to_an_opening_meets_no_reset() -> None:
-    """A flow is reset just as it opens.
+    """A flow is not reset just as it opens.
 
-    Symptom: a caller gets a reset right after its opening was accepted.
-    Events: an agent stands still for 0.3 s; the caller repeats its opening;
-    no other target is there; the agent wakes and the server accepts.
-    Cause: a repeated opening without a further target was refused, though
-    the first one was still under way.
+    An agent stops for 0.3 s, the caller repeats its opening, and there is no
+    other target. Then the agent resumes and the server accepts. If the
+    balancer refused the repeated opening while the first copy was in flight,
+    the caller would get a reset right after the acceptance.
     """
     world = packet_world.small_world(servers=1)
     agent = world.processes['10.0.1.1']
@@ -286,12 +283,11 @@
 
 
 def test_a_balancer_without_agents_asks_for_no_packets() -> None:
-    """Callers' openings die at a balancer that is cut off.
+    """A balancer that is cut off from all agents is not ready.
 
-    Symptom: a share of openings times out for as long as a cut lasts.
-    Events: one balancer loses its links to all other processes, while the
-    fabric still reaches it.
-    Cause: it said that it is ready, for it knew the configuration.
+    It loses its links to all other processes while the fabric still reaches
+    it. If it reported ready because it has a configuration, a share of
+    openings would time out until the links are restored.
     """
     world = packet_world.small_world()
     for host in list(world.processes):
@@ -314,16 +310,14 @@
 def test_a_flow_that_two_servers_accepted_is_found_at_the_right_one(
     agents_restart: bool,
 ) -> None:
-    """A flow's packets go to a server that merely accepted its opening.
-
-    Symptom: no answer on a flow whose server lives, or its caller gets a
-    reset from a server that merely accepted the opening too.
-    Events: an agent stands still for 0.3 s, so that a copy of an opening goes
-    to a second server; both accept; the caller takes one answer; then all
-    balancers start again and search, or the agents as well.
-    Cause: the other agent said that its server holds the flow; or it had
-    forgotten its server's number, gave it the asking packet, and passed on
-    the reset that the server sent for it.
+    """A search finds the server whose acceptance the caller uses.
+
+    Agents stop for 0.3 s, so that a copy of an opening goes to a second server
+    and both servers accept. Then all balancers restart and search; in one
+    variant the agents restart as well. An agent must not answer that its
+    server holds a flow that the server has only accepted. Nor may an agent
+    that has lost its server's initial sequence number forward the reset with
+    which the server answers the probe packet.
     """
     world = packet_world.small_world(servers=3)
     feeds = []
@@ -355,14 +349,14 @@
 
 
 def test_a_new_server_that_resets_what_it_does_not_know() -> None:
-    """An open flow is reset by a server that has just started.
-
-    Symptom: a caller's flow is reset 1 ms after it opened at another server.
-    Events: the fabric turns to a balancer that searches; an agent that is as
-    young as its server can't tell, and gives it the asking packet; the server
-    resets it in place of returning it, with the numbers that the caller
-    expects; the agent passes the reset on.
-    Cause: any packet of the server was taken to be for a flow that it holds.
+    """Resets of a new server for unknown flows are not forwarded.
+
+    A balancer searches for open flows. An agent that started with its server
+    can't answer from its own state and forwards the probe packet. The server
+    resets the unknown flow instead of returning the packet, with the sequence
+    numbers that the caller expects. If the agent took any packet of the server
+    as proof that it holds the flow, it would forward the reset and end a flow
+    that opened at another server 1 ms before.
     """
     world = packet_world.small_world(servers=6)
     feeds = serve_feeds(world, 40)
--- a/tests/packets/test_lost_flows.py
+++ b/tests/packets/test_lost_flows.py
@@ -1,4 +1,4 @@
-"""Test how soon callers hear that nobody holds their flow any more."""
+"""Test how soon callers learn that no server holds their flow any more."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def withhold_changes(world: packet_world.World, host: str) -> None:
-    """Lose the changes that are sent to a process, but no heartbeat."""
+    """Drop the changes that are sent to a process, but no heartbeat."""
     carry = world.carry
     world.store.refused.add(host)
 
@@ -25,17 +25,16 @@
 
 
 def send_all_to(world: packet_world.World, host: str) -> None:
-    """Let the fabric give all packets to one balancer."""
+    """Make the fabric send all packets to one balancer."""
     for process in world.balancers():
         world._rotation[process.host] = 0 if process.host == host else 9
 
 
 def test_lost_flows_are_reset_at_once() -> None:
-    """Callers wait for their timeout though their flow can't be saved.
+    """Lost flows are reset at once.
 
-    Symptom: requests on flows of a crashed server end only at the deadline.
-    Events: a server crashes and starts again; callers ask on old flows.
-    Cause: nobody told them that the flow is gone.
+    A server crashes and restarts, and callers send requests on old flows.
+    Without a reset the requests would end only at their deadline.
     """
     world = packet_world.small_world()
     feeds = serve_feeds(world, 30)
@@ -57,13 +56,13 @@
 
 @pytest.mark.parametrize('seed', [1, 2])
 def test_changes_of_known_servers_delay_no_reset(seed: int) -> None:
-    """Callers wait for up to 0.85 s until a lost flow is reset.
+    """Changes of known servers' entries do not delay the reset of a flow.
 
-    Symptom: ``flow lost`` with a large ``took_ms``, ``verdicts_delayed``
-    rising, for seconds after a loss of power.
-    Events: servers lose their flows; while they warm up, each writes its entry
-    again and again, and a balancer hears of these changes late.
-    Cause: it gave no verdict while anybody knew any newer change.
+    Servers lose their flows, as in a power loss. While they warm up, each
+    writes its entry again and again, and a balancer receives these changes
+    late. If it waited whenever another process had any newer change, lost
+    flows would be reset up to 0.85 s late: ``flow lost`` with a large
+    ``took_ms``, and ``verdicts_delayed`` rising for seconds.
     """
     world = packet_world.small_world(servers=6, seed=seed)
     feeds = [world.request(feed=True) for _ in range(20)]
@@ -86,12 +85,12 @@
 
 
 def test_a_new_instance_that_others_know_delays_a_reset() -> None:
-    """A flow is reset whose server a balancer has not heard of.
+    """A missing change of a new instance delays the reset of a flow.
 
-    Symptom: a reset that the server didn't send, on a flow that it holds.
-    Events: a server joins on a new instance and takes a flow; a balancer that
-    lacks this change gets the flow's packets.
-    Cause: all that it knew had said no.
+    A server joins on a new instance and accepts a flow. A balancer that lacks
+    this change gets the flow's packets, and all targets in its table deny
+    holding the flow. If it did not wait, it would reset a flow that its server
+    holds.
     """
     world = packet_world.small_world(servers=2)
     late, other = [process.host for process in world.balancers()][:2]
@@ -115,18 +114,18 @@
 
 
 def test_a_flow_may_be_idle_as_long_as_the_operator_says() -> None:
-    """A quiet flow is reset though its server holds it.
+    """A flow is kept for the configured idle timeout.
 
-    Symptom: a reset that the server didn't send, after 30 s of silence.
-    Events: the operator allows flows to be idle for 45 s; balancers are
-    replaced; then the caller asks again.
-    Cause: its agent had forgotten the flow after 20 s, and denied it.
+    The operator allows flows to be idle for 45 s, and balancers are replaced
+    while a flow is idle. If its agent dropped the flow after 20 s, the agent
+    would answer that the flow is not held, and it would be reset after 30 s of
+    silence although its server holds it.
     """
     world = packet_world.small_world()
     world.store.configure(
         2, [packet_world.route('dispatch')], idle_timeout_ms=45_000
     )
-    # From then on the agents take themselves to know all flows.
+    # After that the agents have seen all flows of their servers.
     world.run(46.0)
     feeds = [world.request(feed=True) for _ in range(8)]
     world.run(30.0)
--- a/tests/packets/test_outcomes.py
+++ b/tests/packets/test_outcomes.py
@@ -6,8 +6,8 @@
 from teaseldock.packets import outcomes
 
 
-def play(world: packet_world.World, count: int) -> list:
-    """Let callers come, 100 a second."""
+def send_requests(world: packet_world.World, count: int) -> list:
+    """Send requests at 100 a second, and wait for their ends."""
     requests = []
     for _ in range(count):
         requests.append(world.request(tries=1))
@@ -17,64 +17,64 @@
 
 
 def test_a_server_that_resets_draws_no_more_flows() -> None:
-    """One server that fails at once takes the requests of all.
+    """A server that resets its requests gets few new flows.
 
-    Symptom: orders are lost by the hundred, though one server of eight is
-    bad and its health check is good.
-    Events: the server resets each flow as soon as a request comes.
-    Cause: failing takes no time, so it looked idle to whoever placed by load.
+    The server resets each flow as soon as a request arrives; its health check
+    passes. Failing takes no time, so the server looks idle to a placement by
+    load. Without the failure rate it would get most requests and lose orders
+    by the hundred.
     """
     world = packet_world.small_world(servers=8)
-    play(world, 100)
-    bad = world.servers['10.0.1.1']
-    bad.fails = True
-    requests = play(world, 500)
+    send_requests(world, 100)
+    faulty = world.servers['10.0.1.1']
+    faulty.fails = True
+    requests = send_requests(world, 500)
     failed = [item for item in requests if item.outcome != 'answered']
     # An eighth of all would be 62.
     assert len(failed) <= 15
     assert not world.broken()
-    told = world.events('request failed')
-    assert len(told) == len(failed)
-    assert all(line['why'] == 'server reset it' for line in told)
+    log_lines = world.events('request failed')
+    assert len(log_lines) == len(failed)
+    assert all(line['why'] == 'server reset it' for line in log_lines)
 
 
 def test_a_server_that_is_well_again_gets_flows() -> None:
-    """A server that failed is tried again, and gets its share."""
+    """A recovered server is tried again and gets its share."""
     world = packet_world.small_world(servers=4)
-    bad = world.servers['10.0.1.1']
-    bad.fails = True
-    play(world, 200)
-    bad.fails = False
-    play(world, 1200)
-    seen = len(bad.opened)
-    play(world, 400)
-    assert len(bad.opened) - seen > 40
+    faulty = world.servers['10.0.1.1']
+    faulty.fails = True
+    send_requests(world, 200)
+    faulty.fails = False
+    send_requests(world, 1200)
+    seen = len(faulty.opened)
+    send_requests(world, 400)
+    assert len(faulty.opened) - seen > 40
 
 
 def test_all_servers_failing_still_get_flows() -> None:
-    """With nobody better, a failing server is better than none."""
+    """Failing servers still get flows if there are no better ones."""
     world = packet_world.small_world(servers=2)
     for server in world.servers.values():
         server.fails = True
-    play(world, 50)
+    send_requests(world, 50)
     for server in world.servers.values():
         server.fails = False
-    requests = play(world, 50)
+    requests = send_requests(world, 50)
     assert all(item.outcome == 'answered' for item in requests)
 
 
 def test_failures_are_forgotten_without_requests() -> None:
-    """Ten failures count for a tenth after three time constants."""
-    judged = outcomes.Outcomes(0.0)
+    """Ten failures count for less than a tenth after three time constants."""
+    record = outcomes.Outcomes(0.0)
     for _ in range(10):
-        judged.note(0.0, failed=True)
-    assert judged.failing(0.0) > 0.85
-    assert judged.failing(3 * outcomes.FORGET_S) < 0.1
+        record.note(0.0, failed=True)
+    assert record.failing(0.0) > 0.85
+    assert record.failing(3 * outcomes.FORGET_S) < 0.1
 
 
 def test_one_failure_in_a_hundred_is_no_verdict() -> None:
-    """A server with few failures is charged next to nothing."""
-    judged = outcomes.Outcomes(0.0)
+    """One failure in a hundred hardly raises the failure rate."""
+    record = outcomes.Outcomes(0.0)
     for number in range(1000):
-        judged.note(number * 0.05, failed=number % 100 == 99)
-    assert judged.failing(50.0) < 0.25
+        record.note(number * 0.05, failed=number % 100 == 99)
+    assert record.failing(50.0) < 0.25
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -1,4 +1,4 @@
-"""Test spreading, readers and recovery of the packet processes."""
+"""Test the spread of changes, store readers and recovery of processes."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from teaseldock.packets import placing
 
 
-def wide_world(**options: object) -> packet_world.World:
+def larger_world(**options: object) -> packet_world.World:
     """Return a world of six balancers and twelve servers."""
     return packet_world.small_world(balancers=6, servers=12, **options)
 
 
 def in_force(world: packet_world.World, version: int) -> list[bool]:
-    """Tell for each process whether a version is in force."""
+    """Return for each process whether a version is in force."""
     return [
         process.node.knowledge.version == version
         for process in world.processes.values()
@@ -22,8 +22,8 @@
 
 
 def test_a_change_is_in_force_everywhere_at_once() -> None:
-    """A change reaches all processes, and few calls are made for it."""
-    world = wide_world()
+    """A change reaches all processes with few calls to the store."""
+    world = larger_world()
     before = world.store.calls
     world.store.configure(7, [packet_world.route('dispatch')])
     world.run(0.3)
@@ -36,13 +36,13 @@
 def test_the_death_of_both_readers_delays_a_change_by_less_than_three_s() -> (
     None
 ):
-    """A change stays unseen after the readers died.
+    """A change is in force within 2.9 s although both readers are dead.
 
-    Symptom: an old configuration in force for long.
-    Events: both readers are killed, then a version is published.
-    Cause: the others waited for them.
+    Both readers are killed, then a version is published. If the other
+    processes only waited for the readers, the old configuration would stay in
+    force.
     """
-    world = wide_world()
+    world = larger_world()
     readers = {
         process.host
         for process in world.balancers()
@@ -57,18 +57,17 @@
 
 
 def test_wide_links_read_for_slim_ones() -> None:
-    """The store's answers fill the link of a balancer that reads for all.
+    """Balancers with fast links read the store for those with slow links.
 
-    Symptom: callers of one balancer wait for a second whenever the operator
-    publishes many routes.
-    Events: two of six balancers have wide links; a version is published.
-    Cause: who reads was chosen by rank alone.
+    Two of six balancers have fast links. If readers were chosen by rank alone,
+    the store's answers would fill a slow link, and callers of that balancer
+    would wait for a second whenever the operator publishes many routes.
     """
-    world = wide_world(link_mbps=2.0)
+    world = larger_world(link_mbps=2.0)
     hosts = sorted(process.host for process in world.balancers())
-    wide = {hosts[1], hosts[4]}
-    world.links = dict.fromkeys(wide, 200.0)
-    for host in wide:
+    fast_hosts = {hosts[1], hosts[4]}
+    world.links = dict.fromkeys(fast_hosts, 200.0)
+    for host in fast_hosts:
         world.start(host)
     world.run(2.0)
     readers = {
@@ -76,8 +75,8 @@
         for process in world.balancers()
         if process.node.reads_store(world.now)
     }
-    assert readers == wide
-    for host in wide:
+    assert readers == fast_hosts
+    for host in fast_hosts:
         world.kill(host)
     world.store.configure(7, [packet_world.route('dispatch')])
     world.run(2.9)
@@ -85,35 +84,34 @@
 
 
 def test_agents_read_first_after_a_loss_of_power() -> None:
-    """Nothing is served while all balancers read over slim links.
+    """Agents read the store first after a power loss.
 
-    Symptom: after a loss of all power no request is served for three seconds.
-    Events: all processes start at once; balancers have links of 2 Mbit/s, on
-    which the store's answer takes 1.5 s.
-    Cause: only balancers read, each the whole, until the others' answers are
-    two seconds old.
+    All processes start at once, and the store's answer takes 1.5 s over the
+    balancers' links of 2 Mbit/s. If only balancers read the store, each in
+    full, until their answers are two seconds old, no request would be served
+    for three seconds.
     """
-    world = wide_world(link_mbps=2.0)
+    world = larger_world(link_mbps=2.0)
     world.run(2.0)
-    slim = {process.host for process in world.balancers()}
-    answer = world.store._hand
+    slow_hosts = {process.host for process in world.balancers()}
+    deliver = world.store._hand
 
-    def slowly(process: object, method: str, *values: object) -> None:
-        delay_s = 1.5 if process.host in slim else 0.0
-        world.after(delay_s, lambda: answer(process, method, *values))
+    def answer_slowly(process: object, method: str, *values: object) -> None:
+        delay_s = 1.5 if process.host in slow_hosts else 0.0
+        world.after(delay_s, lambda: deliver(process, method, *values))
 
-    world.store._hand = slowly
+    world.store._hand = answer_slowly
     calls = world.store.calls
     for host in list(world.processes):
         world.start(host)
     world.run(0.8)
     assert all(in_force(world, 1))
-    assert world.store.calls - calls <= 2 * len(slim) + 10
+    assert world.store.calls - calls <= 2 * len(slow_hosts) + 10
 
 
 def test_readers_that_are_turned_away_are_replaced() -> None:
-    """The store refuses all balancers but one; all hear of a change."""
-    world = wide_world()
+    """The store refuses all balancers but one; all processes get a change."""
+    world = larger_world()
     hosts = sorted(process.host for process in world.balancers())
     world.store.refused = set(hosts[1:])
     world.store._wake()
@@ -124,8 +122,8 @@
 
 
 def test_agents_read_when_no_balancer_can() -> None:
-    """The store refuses all balancers; agents carry the news."""
-    world = wide_world()
+    """The store refuses all balancers; agents read and spread a change."""
+    world = larger_world()
     world.store.refused = {process.host for process in world.balancers()}
     world.store._wake()
     world.store.configure(7, [packet_world.route('dispatch')])
@@ -134,8 +132,8 @@
 
 
 def test_a_lost_history_is_read_anew() -> None:
-    """A watch whose revision is no longer kept leads to a full read."""
-    world = wide_world()
+    """A watch from a revision that is no longer kept leads to a full read."""
+    world = larger_world()
     server = world.servers['10.0.1.5']
     world.store.remove(server.identifier)
     world.store.forget_history()
@@ -149,8 +147,8 @@
 def test_restarted_processes_learn_from_peers_while_the_store_is_down() -> (
     None
 ):
-    """A balancer that starts during an outage serves by its peers' word."""
-    world = wide_world()
+    """Processes that start during a store outage get the state from peers."""
+    world = larger_world()
     world.store.up = False
     world.store._wake()
     world.run(1.0)
@@ -164,11 +162,12 @@
 
 
 def test_a_start_of_all_serves_within_half_a_second() -> None:
-    """After a loss of all power, the first answer comes quickly.
+    """Requests are answered within half a second of a start of all processes.
 
-    Events: every process starts at one moment, and the store answers.
+    All processes start at the same time, as after a power loss, and the store
+    answers.
     """
-    world = wide_world()
+    world = larger_world()
     for host in list(world.processes):
         world.start(host)
     world.run(0.2)
@@ -178,14 +177,14 @@
 
 
 def test_a_store_that_returns_is_not_met_by_all_at_once() -> None:
-    """Calls while the store is away stay few, and differ in time."""
-    world = wide_world()
+    """Calls during a store outage stay few and are spread over time."""
+    world = larger_world()
     for host in list(world.processes):
         world.start(host)
     world.store.up = False
     before = world.store.calls
     world.run(8.0)
-    # 6 balancers at a call each 0.8 s, 12 agents likewise after their wait.
+    # 6 balancers with a call every 0.8 s, 12 agents as well after a delay.
     assert world.store.calls - before < 18 * 8 / 0.6
     world.store.up = True
     world.run(1.5)
@@ -193,14 +192,13 @@
 
 
 def test_a_paused_balancer_does_not_act_on_its_old_view() -> None:
-    """A woken balancer sends a new flow to a target that left meanwhile.
+    """A balancer does not place flows by old state after a pause.
 
-    Symptom: an opening at a target long after it said that it leaves.
-    Events: a balancer stands still for a second; a target drains meanwhile;
-    the balancer wakes, and packets are waiting.
-    Cause: it used its table before it had heard from anybody.
+    A balancer stops for a second, and a target drains meanwhile. When the
+    balancer resumes, packets are waiting. If it used its table before it had
+    received anything from its peers, it would send openings to that target.
     """
-    world = wide_world()
+    world = larger_world()
     paused = world.processes['10.0.0.6']
     paused.paused = True
     server = world.servers['10.0.1.1']
@@ -213,7 +211,7 @@
         world.run(0.003)
     world.run(1.0)
     assert len(server.opened) == seen
-    # No agent may stand in for the balancer's check here.
+    # The agent must not refuse openings in place of the balancer.
     world.kill(server.host)
     world.start(server.host).node._refuses_openings = lambda: False
     paused.wake()
@@ -225,7 +223,7 @@
 
 def test_lossy_links_delay_but_break_nothing() -> None:
     """With 5 % of all datagrams lost, changes arrive and flows stay."""
-    world = wide_world(seed=5)
+    world = larger_world(seed=5)
     world.loss = 0.05
     feeds = [world.request(feed=True) for _ in range(40)]
     world.run(2.0)
@@ -240,14 +238,13 @@
 
 
 def test_expired_entries_stop_no_service() -> None:
-    """All targets are gone for two seconds after the store returns.
+    """Targets whose entries expired during a store outage still get flows.
 
-    Symptom: openings are refused for lack of a target, though all serve.
-    Events: entries expire while the store is away, which is seen when it
-    returns; 1.5 s later the servers have written them again.
-    Cause: an expired entry was taken for a target that is gone.
+    Entries expire while the store is down, which is seen when it returns. The
+    servers have written them again 1.5 s later. If an expired entry counted as
+    a removed target, openings would be refused although all servers are up.
     """
-    world = wide_world()
+    world = larger_world()
     world.store.up = False
     world.store._wake()
     world.run(4.0)
@@ -268,8 +265,8 @@
 
 
 def test_an_entry_that_stays_missing_is_gone() -> None:
-    """An expired entry gets no new flow after its two seconds."""
-    world = wide_world()
+    """An expired entry gets no new flow after two seconds."""
+    world = larger_world()
     server = world.servers['10.0.1.1']
     world.store.up = False
     world.store._wake()
@@ -287,13 +284,12 @@
 def test_flows_are_found_soon_after_all_processes_were_killed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Feeds stall for many seconds after every process was killed.
+    """Flows are found within seconds after all processes were killed.
 
-    Symptom: 12 s after a kill of all processes, most feeds have no answer.
-    Events: 1,200 feeds at 40 servers, placed anywhere, as under load; all
-    agents and balancers are killed and start again, so that no agent knows its
-    server's flows; callers ask.
-    Cause: the budget of questions was for agents that know.
+    There are 1,200 feeds at 40 servers, placed anywhere, as under load. All
+    agents and balancers are killed and restart, so that no agent has seen its
+    server's flows. With a query budget that only suffices for agents that have
+    seen them, most feeds had no answer after 12 s.
     """
     monkeypatch.setattr(placing, 'LOADED', -1.0)
     world = packet_world.small_world(balancers=8, servers=40)
@@ -316,14 +312,14 @@
 
 
 def test_a_request_that_asked_takes_one_slot() -> None:
-    """Servers look busy for seconds after every process was killed.
-
-    Symptom: requests are given up in the queue of an idle server.
-    Events: all processes are killed; a caller's request asks who holds its
-    flow; the server runs it and answers; the balancer then sends the packets
-    that it kept, the same request among them.
-    Cause: the agent had not noted the request that asked, took the repetition
-    for a new one, and kept a slot for it until its timeout.
+    """A request that was sent as a probe occupies one slot.
+
+    All processes are killed. A caller's request is sent as a probe for the
+    holder of its flow; the server runs it and answers. The balancer then sends
+    the packets that it held, including the same request. If the agent did not
+    record the probe, it would count the repetition as a new request and keep a
+    slot for it until its timeout, and requests would be dropped in the queue
+    of an idle server.
     """
     world = packet_world.small_world(servers=2)
     feeds = [world.request(feed=True) for _ in range(12)]
--- a/tests/packets/test_same_identifier.py
+++ b/tests/packets/test_same_identifier.py
@@ -1,4 +1,4 @@
-"""Test a server that starts again under the identifier that it had."""
+"""Test a server that restarts under the same identifier."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def crash_and_return(world: packet_world.World, host: str) -> None:
-    """Let a server crash and be back at once under its identifier."""
+    """Crash a server and restart it at once under its identifier."""
     server = world.servers[host]
     server.crash(keeps_identifier=True)
     server.up = True
@@ -25,14 +25,12 @@
 
 
 def test_what_the_former_run_had_is_lost() -> None:
-    """Flows of a server that crashed stay where nobody answers them.
-
-    Symptom: requests are answered only by their callers' next try, and slots
-    stay taken by requests that are gone.
-    Events: a server with requests at it and waiting crashes, and starts again
-    under the same identifier.
-    Cause: the identifier was the same, so nothing seemed to have changed: the
-    agent kept its queue and held flows that are gone.
+    """Flows and requests of the previous run are dropped.
+
+    A server with running and waiting requests crashes and restarts under the
+    same identifier. If the agent compared only identifiers, it would keep its
+    queue and the lost flows. Slots would stay occupied, and requests would be
+    answered only when their callers retry.
     """
     world = packet_world.small_world(servers=1, service_s=0.3, slots=1)
     feeds = [world.request(feed=True, tries=1) for _ in range(6)]
@@ -49,12 +47,12 @@
 
 
 def test_a_flow_of_the_new_run_outlives_its_late_entry() -> None:
-    """A flow is reset that opened before the new run's entry was known.
+    """A flow that opens before the new run's entry arrives is not reset.
 
-    Symptom: a reset that the server didn't send, on a flow that it holds.
-    Events: a server starts again under its identifier, and takes new flows; a
-    moment later its entry comes, and then another balancer asks for them.
-    Cause: with the entry all flows were taken for those of the former run.
+    A server restarts under its identifier and accepts new flows. Its entry
+    arrives shortly after, and then another balancer queries the flows. If all
+    flows were assigned to the previous run when the entry arrives, they would
+    be reset although the server holds them.
     """
     world = packet_world.small_world(servers=1)
     world.run(17.0)
@@ -74,13 +72,12 @@
 
 
 def test_an_agent_younger_than_the_new_run_denies_nothing() -> None:
-    """A flow is reset whose agent began after the server's last start.
+    """An agent that starts after the new run does not deny its flows.
 
-    Symptom: a reset that the server didn't send, on a flow that it holds.
-    Events: a server starts anew and takes a flow; its agent is killed and
-    starts again; it hears of the former run first, then of the new one.
-    Cause: having heard of both, it took itself for older than the new run,
-    and so for knowing all its flows.
+    A server restarts and accepts a flow. Its agent is killed and restarts; it
+    receives the entry of the previous run first, then that of the new run. If
+    it concluded that it is older than the new run and has seen all its flows,
+    it would deny the flow, which would be reset although the server holds it.
     """
     world = packet_world.small_world(servers=1)
     host = '10.0.1.1'
@@ -102,7 +99,7 @@
 
 
 def test_the_former_address_may_hold_flows() -> None:
-    """A server that moved keeps being asked for flows where it was."""
+    """The previous address of a moved server is still queried for flows."""
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [entry()], [], None), 1.0)
     moved = entry(host='10.0.1.2', born_ms=7, revision=8)
@@ -114,29 +111,28 @@
 
 
 def test_the_former_address_of_one_run_may_hold_flows() -> None:
-    """An entry that another writer changes hides no flows.
+    """An entry changed by another writer hides no flows.
 
-    Symptom: a flow is reset though its server lives, while the process beside
-    that server restarts.
-    Events: something else writes a service that isn't configured into a good
-    entry; its instance is silent for a moment.
-    Cause: the entry's run was the same, so its former place was forgotten.
+    Another writer puts an unconfigured service into a valid entry, and the
+    agent of that instance restarts. The run is the same; if the previous place
+    were dropped because of that, a flow would be reset although its server is
+    up.
     """
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [entry()], [], None), 1.0)
-    odd = entry(service='elsewhere', revision=8)
-    known.apply(records.Changes(5, 8, [odd], [], None), 2.0)
+    unconfigured = entry(service='elsewhere', revision=8)
+    known.apply(records.Changes(5, 8, [unconfigured], [], None), 2.0)
     assert [item.target.service for item in known.recently_removed(2.5)] == [
         'dispatch'
     ]
 
 
 def test_an_overwritten_entry_has_not_expired() -> None:
-    """After an outage an entry that names no target gets new flows.
+    """An entry that was overwritten does not count as expired.
 
-    Symptom: openings at a server whose entry another writer took away.
-    Events: the store was away; then something else stands under its key.
-    Cause: whatever is missing after an outage was taken for expired.
+    The store is down, and afterwards its key holds something else. If every
+    entry missing after an outage counted as expired, the target would get
+    openings although another writer removed it.
     """
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [entry()], [], None), 1.0)
@@ -147,16 +143,18 @@
 
 
 def test_an_unnamed_service_names_no_target() -> None:
-    """A search waits for an address that nobody has.
+    """An entry of an unconfigured service is no target.
 
-    Symptom: lost flows are never reset, their callers wait in vain.
-    Events: another writer leaves an entry of a service that isn't configured.
-    Cause: its host never answers, and silence is no answer.
+    Another writer leaves such an entry. Its host never answers, and a missing
+    answer is no denial. If searches queried it, lost flows would never be
+    reset, and their callers would wait until their timeout.
     """
     known = knowledge.Knowledge()
     configuration = records.Configuration(1, 4, 15_000, [], ['dispatch'])
-    odd = entry(identifier='odd', service='elsewhere')
-    known.apply(records.Changes(0, 5, [entry(), odd], [], configuration), 1.0)
+    unconfigured = entry(identifier='odd', service='elsewhere')
+    known.apply(
+        records.Changes(0, 5, [entry(), unconfigured], [], configuration), 1.0
+    )
     assert list(known.targets) == ['i-1']
     assert known.entries_of_unknown_services == {'odd'}
     assert len(known.changes_since(0).targets) == 2
--- a/tests/packets/test_searching.py
+++ b/tests/packets/test_searching.py
@@ -10,7 +10,7 @@
 HOSTS = [f'10.0.1.{number}' for number in range(45)]
 
 
-def made(number: int, length: int = 0) -> packet.Packet:
+def make_packet(number: int, length: int = 0) -> packet.Packet:
     """Return a packet that differs from others by its number."""
     return packet.Packet(
         bytes(12),
@@ -28,9 +28,9 @@
 
 
 def test_the_likeliest_are_asked_first() -> None:
-    """Four are asked by the balancer, each once; the rest by relays.
+    """The balancer queries four targets once each; relays query the rest.
 
-    Relays begin when all four have answered, or after 20 ms.
+    Relays start when all four have answered, or after 20 ms.
     """
     search = searching.Search(HOSTS, 0.0)
     assert search.hosts_to_ask() == HOSTS[:4]
@@ -42,13 +42,13 @@
         search.note_denial(host)
     search.note_unsure(HOSTS[3])
     assert search.hosts_for_relays(0.002) == HOSTS[3:]
-    silent = searching.Search(HOSTS, 0.0)
-    assert not silent.hosts_for_relays(0.019)
-    assert silent.hosts_for_relays(0.02) == HOSTS
+    unanswered = searching.Search(HOSTS, 0.0)
+    assert not unanswered.hosts_for_relays(0.019)
+    assert unanswered.hosts_for_relays(0.02) == HOSTS
 
 
 def test_silence_is_no_denial() -> None:
-    """A search is over when everybody has said no, not before."""
+    """A search is over when all hosts have denied holding the flow."""
     search = searching.Search(HOSTS[:3], 0.0)
     search.note_denial(HOSTS[0])
     search.note_denial(HOSTS[1])
@@ -58,45 +58,48 @@
 
 
 def test_the_silent_are_asked_ever_more_seldom() -> None:
-    """Questions fill a link, so that no answer comes back.
+    """Queries to hosts without an answer back off.
 
-    Symptom: a balancer with a slim link serves nothing for seconds after it
-    has started; its link is full.
-    Events: 100 flows are searched for at 45 targets; some are cut off.
-    Cause: whoever had not answered was asked again each 0.2 s.
+    100 flows are searched for at 45 targets, some of them cut off. When every
+    host without an answer was queried again each 0.2 s, queries filled the
+    slow link of a balancer that had just started. No answer came back, and it
+    served nothing for seconds.
     """
     search = searching.Search(HOSTS, 0.0)
-    asked = 0
+    queries = 0
     for tick in range(100):
         now = tick * 0.05
         for host in search.hosts_to_ask():
             search.asked(host)
-            asked += 1
+            queries += 1
         if search.hosts_for_relays(now):
             search.relayed(now)
-            asked += 2
+            queries += 2
     # Four hosts, and two relays for 45 hosts eight times in five seconds.
-    assert asked <= 4 + 2 * 8
+    assert queries <= 4 + 2 * 8
 
 
 def test_packets_are_bounded_and_the_shortest_asks() -> None:
-    """Repetitions are kept once, and sixteen packets at most."""
+    """Repetitions are held once, and at most sixteen packets in all.
+
+    The shortest packet is the probe.
+    """
     search = searching.Search(HOSTS, 0.0)
-    search.add_packet(made(1, length=1200))
-    search.add_packet(made(2, length=80))
-    search.add_packet(made(2, length=80))
+    search.add_packet(make_packet(1, length=1200))
+    search.add_packet(make_packet(2, length=80))
+    search.add_packet(make_packet(2, length=80))
     assert search.probe.length == 80
     for number in range(40):
-        search.add_packet(made(number, length=90))
+        search.add_packet(make_packet(number, length=90))
     assert len(search.take_packets()) == searching.PACKETS_KEPT
     assert search.probe is None
 
 
 def test_a_restart_among_dark_targets_does_not_flood() -> None:
-    """Bytes for questions stay within their budget.
+    """Bytes for queries stay within their budget.
 
-    Events: 200 feeds; a third of the instances go dark with their servers;
-    all balancers start again, so that every flow is searched for.
+    There are 200 feeds, and a third of the instances go down with their
+    servers. All balancers restart, so that every flow is searched for.
     """
     world = packet_world.small_world(servers=30, balancers=2)
     feeds = [world.request(feed=True) for _ in range(200)]
