--- a/packages/teaseldock/teaseldock/packets/dispatching.py
+++ b/packages/teaseldock/teaseldock/packets/dispatching.py
@@ -79,7 +79,7 @@
 
 
 class _RunningRequest(typing.NamedTuple):
-    """A request that was sent to the server.
+    """A request that was sent to the server and has no answer yet.
 
     :ivar began: time at which it was sent to the server.
     :ivar timed: whether a slot was free, so that its duration is the
@@ -126,7 +126,7 @@
 
     @property
     def running(self) -> int:
-        """Return the number of requests sent to the server."""
+        """Return the number of running requests."""
         return len(self._running)
 
     @property
@@ -139,7 +139,7 @@
         return flow in self._waiting
 
     def is_running(self, flow: bytes) -> bool:
-        """Return whether a request of a flow was sent to the server."""
+        """Return whether a request of a flow is running."""
         return flow in self._running
 
     def offer(
