--- a/packages/teaseldock-agent/teaseldock_agent/application.py
+++ b/packages/teaseldock-agent/teaseldock_agent/application.py
@@ -37,7 +37,7 @@
             now=time.monotonic(),
         )
         super().__init__(values, self._agent)
-        self._fabric = tuple(values['fabric'])
+        self._fabric_address = tuple(values['fabric'])
         self._links: dict[str, server_link.ServerLink] = {}
 
     async def close(self) -> None:
@@ -55,20 +55,20 @@
             return
         self.perform(self._agent.on_packet(packet, now))
 
-    def perform_other(self, action: messages.Action, now: float) -> None:
+    def perform_specific(self, action: messages.Action, now: float) -> None:
         """Send to callers and to the server."""
         match action:
             case messages.ToCaller():
                 datagram = proxy_header.pack_plain(
-                    _turned(action.flow), action.payload
+                    _reverse_flow_key(action.flow), action.payload
                 )
-                self._peer.send(datagram, self._fabric)
+                self._peer.send(datagram, self._fabric_address)
             case messages.ToServer():
-                self._to_server(action, now)
+                self._send_to_server(action, now)
             case _:
-                super().perform_other(action, now)
+                super().perform_specific(action, now)
 
-    def _to_server(self, action: messages.ToServer, now: float) -> None:
+    def _send_to_server(self, action: messages.ToServer, now: float) -> None:
         link = self._links.get(action.service)
         if link is None:
             return
@@ -139,6 +139,6 @@
         return figures
 
 
-def _turned(flow_key: bytes) -> bytes:
+def _reverse_flow_key(flow_key: bytes) -> bytes:
     """Return a flow key with caller and service changed over."""
     return flow_key[4:8] + flow_key[:4] + flow_key[10:12] + flow_key[8:10]
--- a/packages/teaseldock-agent/teaseldock_agent/server_link.py
+++ b/packages/teaseldock-agent/teaseldock_agent/server_link.py
@@ -58,13 +58,13 @@
 
     def start(self) -> None:
         """Open the sockets."""
-        for item in self._sockets:
-            item.start(connect=self._endpoint)
+        for sock in self._sockets:
+            sock.start(connect=self._endpoint)
 
     def close(self) -> None:
         """Close the sockets."""
-        for item in self._sockets:
-            item.close()
+        for sock in self._sockets:
+            sock.close()
 
     def send(self, datagram: bytes, *, call: int) -> None:
         """Send a request; its call chooses the socket."""
--- a/packages/teaseldock-balancer/teaseldock_balancer/application.py
+++ b/packages/teaseldock-balancer/teaseldock_balancer/application.py
@@ -36,18 +36,18 @@
         self._route = self._balancer.router.route
         self._last_packet_at = 0.0
         self._passed: collections.Counter[str] = collections.Counter()
-        self._outside = sockets.DatagramSocket(
+        self._fabric_socket = sockets.DatagramSocket(
             self.on_datagram, place='--listen'
         )
 
     async def start(self) -> None:
         """Open the addresses and begin."""
-        self._outside.start(bind=self._values['listen'])
+        self._fabric_socket.start(bind=self._values['listen'])
         await super().start()
 
     async def close(self) -> None:
         """Close the addresses."""
-        self._outside.close()
+        self._fabric_socket.close()
         await super().close()
 
     def on_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
@@ -91,6 +91,6 @@
         """Return figures for the status page and the metrics."""
         figures = super().status()
         figures['packets_passed'] = self._passed['packets']
-        figures['fabric_socket'] = dict(self._outside.counters)
+        figures['fabric_socket'] = dict(self._fabric_socket.counters)
         figures.update(self._balancer.status(time.monotonic()))
         return figures
--- a/packages/teaseldock-edge/teaseldock_edge/admin.py
+++ b/packages/teaseldock-edge/teaseldock_edge/admin.py
@@ -59,13 +59,13 @@
         for key, value in self._status().items():
             name = f'{self._prefix}_{key}'
             if isinstance(value, (int, float)):
-                yield _plain(name, key, value)
+                yield _number_metric(name, key, value)
             elif key == 'targets':
-                yield from self._of_targets(value)
+                yield from self._target_metrics(value)
             elif isinstance(value, dict) and key != 'members':
-                yield _by_kind(name, key, value)
+                yield _counter_by_kind(name, key, value)
 
-    def _of_targets(
+    def _target_metrics(
         self, targets: list[dict[str, typing.Any]]
     ) -> typing.Iterator[core.Metric]:
         for field in TARGET_FIELDS:
@@ -79,14 +79,16 @@
             yield metric
 
 
-def _plain(name: str, key: str, value: float) -> core.Metric:
+def _number_metric(name: str, key: str, value: float) -> core.Metric:
     text = key.replace('_', ' ')
     if key in RISING:
         return core.CounterMetricFamily(name, text, value=value)
     return core.GaugeMetricFamily(name, text, value=value)
 
 
-def _by_kind(name: str, key: str, values: dict[str, float]) -> core.Metric:
+def _counter_by_kind(
+    name: str, key: str, values: dict[str, float]
+) -> core.Metric:
     metric = core.CounterMetricFamily(
         name, key.replace('_', ' '), labels=['kind']
     )
--- a/packages/teaseldock-edge/teaseldock_edge/command_line.py
+++ b/packages/teaseldock-edge/teaseldock_edge/command_line.py
@@ -82,7 +82,7 @@
     )
 
 
-def _explain_files(
+def _explain_documents(
     arguments: dict[str, typing.Any], hash_key: bytes
 ) -> dict[str, typing.Any]:
     contents = configuration.check_documents(
@@ -126,12 +126,12 @@
         ) from error
 
 
-def _one_setting(
+def _read_setting(
     scope: str, name: str, arguments: dict[str, typing.Any]
 ) -> typing.Any:
     """Read one setting alone; commands need few of them."""
     given = {f'--{name}': arguments.get(f'--{name}')}
-    filler = {
+    placeholders = {
         'name': 'x',
         'endpoint': '127.0.0.1:1',
         'url': 'http://x',
@@ -139,11 +139,11 @@
     }
     for setting in settings.for_program(scope):
         if setting.name != name and setting.default is None:
-            given[f'--{setting.name}'] = filler[setting.kind]
+            given[f'--{setting.name}'] = placeholders[setting.kind]
     return settings.read(scope, given, os.environ)[name]
 
 
-def _ask_admin(endpoint: flow.Endpoint, path: str) -> typing.Any:
+def _get_admin_page(endpoint: flow.Endpoint, path: str) -> typing.Any:
     url = f'http://{endpoint.host}:{endpoint.port}{path}'
     try:
         with urllib.request.urlopen(url, timeout=5) as answer:
@@ -158,8 +158,8 @@
 
 def _explain(scope: str, arguments: dict[str, typing.Any]) -> None:
     if arguments['<document>']:
-        hash_key = _one_setting(scope, 'hash-key', arguments)[0]
-        answer = _explain_files(arguments, hash_key)
+        hash_key = _read_setting(scope, 'hash-key', arguments)[0]
+        answer = _explain_documents(arguments, hash_key)
     else:
         query = urllib.parse.urlencode(
             {
@@ -167,15 +167,15 @@
                 'service': arguments['<service>'],
             }
         )
-        endpoint = _one_setting(scope, 'admin', arguments)
-        answer = _ask_admin(endpoint, f'/explain?{query}')
+        endpoint = _read_setting(scope, 'admin', arguments)
+        answer = _get_admin_page(endpoint, f'/explain?{query}')
     print(json.dumps(answer, indent=1))
 
 
 def _run(scope: str, arguments: dict[str, typing.Any], build: Build) -> None:
     values = settings.read(scope, arguments, os.environ)
     handler = logs.start(values['log-level'])
-    for warning in settings.warn_unknown(scope, os.environ):
+    for warning in settings.unknown_variable_warnings(scope, os.environ):
         program.LOG.warning(warning)
     try:
         asyncio.run(_build_and_run(values, build))
@@ -215,8 +215,8 @@
             _explain(scope, arguments)
         else:
             page = '/status' if arguments['status'] else '/audit'
-            endpoint = _one_setting(scope, 'admin', arguments)
-            print(json.dumps(_ask_admin(endpoint, page), indent=1))
+            endpoint = _read_setting(scope, 'admin', arguments)
+            print(json.dumps(_get_admin_page(endpoint, page), indent=1))
     except exceptions.TeaseldockError as error:
         print(error, file=sys.stderr)
         return error.exit_code
--- a/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
@@ -35,14 +35,14 @@
     def post(self) -> None:
         """Answer those that know the key."""
         try:
-            asked = wire.unpack(self.request.body, keys=self._exchange.keys)
+            message = wire.unpack(self.request.body, keys=self._exchange.keys)
         except exceptions.TeaseldockError:
             self.set_status(403)
             return
-        if not isinstance(asked, messages.Documents):
+        if not isinstance(message, messages.Documents):
             self.set_status(400)
             return
-        answer = self._exchange.answer(asked)
+        answer = self._exchange.answer(message)
         if 'gzip' in self.request.headers.get('Accept-Encoding', ''):
             answer = gzip.compress(answer, COMPRESSION, mtime=0)
             self.set_header('Content-Encoding', 'gzip')
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        decisions: node.Node,
+        local_node: node.Node,
         *,
         keys: tuple[bytes, ...],
         offer: Offer,
@@ -67,7 +67,7 @@
         :param offer: takes documents that were fetched.
         :param count: counts control traffic.
         """
-        self._node = decisions
+        self._node = local_node
         self._keys = keys
         self._offer = offer
         self._count = count
@@ -104,9 +104,9 @@
         self._server.stop()
         self._client.close()
 
-    def answer(self, asked: messages.Documents) -> bytes:
+    def answer(self, message: messages.Documents) -> bytes:
         """Return the documents that an asker lacks, sealed."""
-        held = node.documents_from_message(asked.documents)
+        held = node.documents_from_message(message.documents)
         return self._pack(self._node.config.documents_missing_from(held))
 
     def count_sent(self, size: int) -> None:
--- a/packages/teaseldock-edge/teaseldock_edge/http_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/http_exchange.py
@@ -88,13 +88,13 @@
         self._address = address
         self._socket: socket.socket | None = None
         self._connected = False
-        self._pending = b''
+        self._unsent = b''
         self._collector: _Collector | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._on_answer: OnAnswer | None = None
         self._on_failure: OnFailure | None = None
         self._timer: reactor.Timer | None = None
-        self._began = 0.0
+        self._started_at = 0.0
         self._timeout_s = 0.0
 
     def get(
@@ -111,15 +111,15 @@
         request has a time limit, and the connection is given up with it. An
         answer whose bytes keep coming is waited for beyond it.
         """
-        self._began = self._loop.now()
+        self._started_at = self._loop.now()
         self._timeout_s = timeout_s
         self._on_answer = on_answer
         self._on_failure = on_failure
         self._collector = _Collector()
         self._parser = httptools.HttpResponseParser(self._collector)
         host = f'{self._address.host}:{self._address.port}'
-        self._pending = f'GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n'.encode()
-        self._timer = self._loop.after(timeout_s, self._give_up)
+        self._unsent = f'GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n'.encode()
+        self._timer = self._loop.after(timeout_s, self._time_out)
         try:
             if self._socket is None:
                 self._connect()
@@ -158,17 +158,17 @@
         if on_failure is not None:
             on_failure(problem)
 
-    def _give_up(self) -> None:
-        waited_s = round(self._loop.now() - self._began, 1)
+    def _time_out(self) -> None:
+        waited_s = round(self._loop.now() - self._started_at, 1)
         self._fail(f'no answer within {waited_s} s')
 
-    def _wait_on(self) -> None:
+    def _extend_timeout(self) -> None:
         """Give an answer that is under way more time."""
         now = self._loop.now()
-        until = max(self._began + self._timeout_s, now + STALL_S)
-        until = min(until, self._began + LONGEST_ANSWER_S)
+        until = max(self._started_at + self._timeout_s, now + STALL_S)
+        until = min(until, self._started_at + LONGEST_ANSWER_S)
         self._timer.cancel()
-        self._timer = self._loop.after(max(0.0, until - now), self._give_up)
+        self._timer = self._loop.after(max(0.0, until - now), self._time_out)
 
     def _on_ready(self, events: int) -> None:
         try:
@@ -189,11 +189,11 @@
             if problem:
                 raise OSError(problem, 'not connected')
             self._connected = True
-        if not self._pending:
+        if not self._unsent:
             return
-        sent = self._socket.send(self._pending)
-        self._pending = self._pending[sent:]
-        if not self._pending:
+        sent = self._socket.send(self._unsent)
+        self._unsent = self._unsent[sent:]
+        if not self._unsent:
             self._loop.watch(self._socket, self._on_ready)
 
     def _read(self) -> None:
@@ -213,7 +213,7 @@
             if self._collector.complete:
                 self._finish()
                 return
-            self._wait_on()
+            self._extend_timeout()
 
     def _finish(self) -> None:
         self._timer.cancel()
@@ -234,25 +234,25 @@
     """One caller of a page server."""
 
     def __init__(
-        self, server: PageServer, loop: reactor.Reactor, item: socket.socket
+        self, server: PageServer, loop: reactor.Reactor, sock: socket.socket
     ) -> None:
         self._server = server
         self._loop = loop
-        self._socket = item
+        self._socket = sock
         self._parser = httptools.HttpRequestParser(self)
         self._path = b''
-        self._read_bytes = 0
-        self._last_at = loop.now()
-        loop.watch(item, self._on_ready)
-        self._check()
+        self._request_bytes = 0
+        self._last_read_at = loop.now()
+        loop.watch(sock, self._on_ready)
+        self._close_if_idle()
 
-    def _check(self) -> None:
+    def _close_if_idle(self) -> None:
         if self._socket is None:
             return
-        if self._loop.now() - self._last_at > IDLE_S:
+        if self._loop.now() - self._last_read_at > IDLE_S:
             self.close()
             return
-        self._loop.after(IDLE_S, self._check)
+        self._loop.after(IDLE_S, self._close_if_idle)
 
     def on_url(self, url: bytes) -> None:
         self._path += url
@@ -260,7 +260,7 @@
     def on_message_complete(self) -> None:
         page = self._server.page(self._path.decode('latin-1'))
         self._path = b''
-        self._read_bytes = 0
+        self._request_bytes = 0
         body = page.body.encode()
         head = (
             f'HTTP/1.1 {page.status} {_PHRASES.get(page.status, "Status")}\r\n'
@@ -276,9 +276,9 @@
     def _on_ready(self, _: int) -> None:
         try:
             part = self._socket.recv(READ_BYTES)
-            self._last_at = self._loop.now()
-            self._read_bytes += len(part)
-            if not part or self._read_bytes > MAX_REQUEST_BYTES:
+            self._last_read_at = self._loop.now()
+            self._request_bytes += len(part)
+            if not part or self._request_bytes > MAX_REQUEST_BYTES:
                 self.close()
                 return
             self._parser.feed_data(part)
@@ -293,7 +293,7 @@
         self._loop.unwatch(self._socket)
         self._socket.close()
         self._socket = None
-        self._server.forget(self)
+        self._server.remove_connection(self)
 
 
 class PageServer:
@@ -338,18 +338,18 @@
             return Page(404, 'text/plain', 'no such page\n')
         return make()
 
-    def forget(self, connection: _Connection) -> None:
+    def remove_connection(self, connection: _Connection) -> None:
         """Drop a closed connection."""
         self._connections.discard(connection)
 
     def _on_connection(self, _: int) -> None:
         try:
-            item, _address = self._socket.accept()
+            sock, _address = self._socket.accept()
         except OSError:
             # The caller went away between the wake-up and now.
             return
-        item.setblocking(False)
-        self._connections.add(_Connection(self, self._loop, item))
+        sock.setblocking(False)
+        self._connections.add(_Connection(self, self._loop, sock))
 
 
 _PHRASES = {200: 'OK', 404: 'Not Found', 503: 'Service Unavailable'}
--- a/packages/teaseldock-edge/teaseldock_edge/line_log.py
+++ b/packages/teaseldock-edge/teaseldock_edge/line_log.py
@@ -37,9 +37,9 @@
         self._now = now
         self._name = ''
         self._tokens = LINES_AT_ONCE
-        self._earned_at = now()
+        self._refilled_at = now()
         self._waiting: collections.deque[bytes] = collections.deque()
-        self._rest = b''
+        self._unwritten = b''
         self._dropped = 0
         self._summary_at = now()
         os.set_blocking(fd, False)
@@ -56,9 +56,9 @@
     def note(self, event: str, **fields: typing.Any) -> None:
         """Queue one line, or count it as dropped."""
         now = self._now()
-        earned = (now - self._earned_at) * LINES_PER_S
-        self._tokens = min(LINES_AT_ONCE, self._tokens + earned)
-        self._earned_at = now
+        refill = (now - self._refilled_at) * LINES_PER_S
+        self._tokens = min(LINES_AT_ONCE, self._tokens + refill)
+        self._refilled_at = now
         if self._tokens < 1 or len(self._waiting) >= LINES_WAITING:
             self._dropped += 1
             return
@@ -83,14 +83,14 @@
         if self._dropped and now - self._summary_at >= SUMMARY_S:
             self._summary_at = now
             self._append('lines dropped', {'so_far': self._dropped}, now)
-        while self._rest or self._waiting:
-            if not self._rest:
+        while self._unwritten or self._waiting:
+            if not self._unwritten:
                 count = min(LINES_A_WRITE, len(self._waiting))
-                self._rest = b''.join(
+                self._unwritten = b''.join(
                     self._waiting.popleft() for _ in range(count)
                 )
             try:
-                written = os.write(self._fd, self._rest)
+                written = os.write(self._fd, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
@@ -98,6 +98,6 @@
                 # the loss shows in the counter of the metrics.
                 self._dropped += len(self._waiting) + 1
                 self._waiting.clear()
-                self._rest = b''
+                self._unwritten = b''
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
--- a/packages/teaseldock-edge/teaseldock_edge/meters_page.py
+++ b/packages/teaseldock-edge/teaseldock_edge/metrics_page.py
@@ -21,8 +21,8 @@
 class _Collector:
     """Yield metrics from a node at each scrape."""
 
-    def __init__(self, owner: node.Node, dropped_lines: int) -> None:
-        self._node = owner
+    def __init__(self, packet_node: node.Node, dropped_lines: int) -> None:
+        self._node = packet_node
         self._dropped_lines = dropped_lines
 
     def collect(self) -> typing.Iterator[typing.Any]:
@@ -77,11 +77,11 @@
     )
 
 
-def page(owner: node.Node, *, dropped_lines: int) -> http_exchange.Page:
+def page(packet_node: node.Node, *, dropped_lines: int) -> http_exchange.Page:
     """Return the metrics of a process."""
     import prometheus_client
 
     registry = prometheus_client.CollectorRegistry()
-    registry.register(_Collector(owner, dropped_lines))
+    registry.register(_Collector(packet_node, dropped_lines))
     text = prometheus_client.generate_latest(registry).decode()
     return http_exchange.Page(200, 'text/plain; version=0.0.4', text)
--- a/packages/teaseldock-edge/teaseldock_edge/platform_client.py
+++ b/packages/teaseldock-edge/teaseldock_edge/platform_client.py
@@ -32,7 +32,7 @@
 _NO_ETAG = '"none"'
 
 Offer = typing.Callable[[list[configuration.Document]], None]
-List = typing.Callable[[list[roster.ListedInstance]], None]
+OnLiveList = typing.Callable[[list[roster.ListedInstance]], None]
 
 
 def parse_documents(body: bytes) -> list[configuration.Document]:
@@ -69,25 +69,25 @@
     def __init__(
         self,
         url: str,
-        decisions: node.Node,
+        local_node: node.Node,
         *,
         offer: Offer,
-        take_list: List,
+        on_live_list: OnLiveList,
         list_interval_s: float,
         start_spread_s: float,
     ) -> None:
         """Prepare; nothing is read before :meth:`start`.
 
         :param offer: takes documents.
-        :param take_list: takes the live list.
+        :param on_live_list: called with each live list that was read.
         :param list_interval_s: seconds between two reads of the list.
         :param start_spread_s: seconds over which starts are spread, so that a
             fleet which starts as one doesn't read as one.
         """
         self._url = url
-        self._node = decisions
+        self._node = local_node
         self._offer = offer
-        self._take_list = take_list
+        self._on_live_list = on_live_list
         self._list_interval_s = list_interval_s
         self._start_spread_s = start_spread_s
         self._client = httpclient.AsyncHTTPClient(
@@ -98,7 +98,7 @@
         self._tasks: list[asyncio.Task] = []
         self._reads = 0
         self._failures = 0
-        self._up = True
+        self._available = True
 
     @property
     def reads(self) -> int:
@@ -114,8 +114,8 @@
         """Begin to read."""
         loop = asyncio.get_running_loop()
         self._tasks = [
-            loop.create_task(self._keep(self._watch)),
-            loop.create_task(self._keep(self._read_list)),
+            loop.create_task(self._run_forever(self._watch)),
+            loop.create_task(self._run_forever(self._read_list)),
         ]
 
     def close(self) -> None:
@@ -144,24 +144,24 @@
                 answer.rethrow()
         except (httpclient.HTTPError, OSError) as error:
             self._failures += 1
-            self._note(False, str(error))
+            self._set_available(False, str(error))
             return None
-        self._note(True, '')
+        self._set_available(True, '')
         return answer
 
-    def _note(self, up: bool, problem: str) -> None:
-        if up == self._up:
+    def _set_available(self, available: bool, problem: str) -> None:
+        if available == self._available:
             return
-        self._up = up
-        if up:
+        self._available = available
+        if available:
             LOG.info('platform answers again')
         else:
             LOG.warning('platform does not answer', problem=problem)
 
-    async def _pause(self, seconds: float) -> None:
+    async def _sleep(self, seconds: float) -> None:
         await asyncio.sleep(seconds * random.uniform(0.75, 1.25))
 
-    async def _keep(
+    async def _run_forever(
         self, work: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
         """Begin again after a fault, which would end the reading for good."""
@@ -170,15 +170,15 @@
                 await work()
             except Exception as error:
                 self._failures += 1
-                self._note(False, f'fault while reading: {error!r}')
-            await self._pause(RETRY_S)
+                self._set_available(False, f'fault while reading: {error!r}')
+            await self._sleep(RETRY_S)
 
     async def _watch(self) -> None:
         await asyncio.sleep(random.uniform(0, self._start_spread_s))
         first = True
         while True:
             if not first and not self._node.is_reader:
-                await self._pause(IDLE_S)
+                await self._sleep(IDLE_S)
                 continue
             # The first read takes whatever there is; a watch would wait.
             wait_s = 0 if first else WATCH_S
@@ -186,8 +186,10 @@
             path = f'/v1/documents?since={since}&wait_s={wait_s:g}'
             answer = await self._get(path, timeout_s=wait_s + 3)
             first = first and answer is None
-            if answer is None or not self._take(parse_documents, answer.body):
-                await self._pause(RETRY_S)
+            if answer is None or not self._parse_and_deliver(
+                parse_documents, answer.body
+            ):
+                await self._sleep(RETRY_S)
 
     async def _read_list(self) -> None:
         """Read the part of the list about this data centre.
@@ -196,18 +198,18 @@
         with the whole fleet.
         """
         await asyncio.sleep(random.uniform(0, self._start_spread_s))
-        centre = self._node.members.own.data_centre
-        path = f'/v1/instances?data_centre={centre}'
+        data_centre = self._node.members.own.data_centre
+        path = f'/v1/instances?data_centre={data_centre}'
         etag = ''
         while True:
             if not etag or self._node.is_reader:
                 answer = await self._get(path, timeout_s=3.0, etag=etag)
                 if answer is not None and answer.code != _UNCHANGED:
-                    if self._take(parse_instances, answer.body):
+                    if self._parse_and_deliver(parse_instances, answer.body):
                         etag = answer.headers.get('Etag', _NO_ETAG)
-            await self._pause(self._list_interval_s)
+            await self._sleep(self._list_interval_s)
 
-    def _take(
+    def _parse_and_deliver(
         self, parse: typing.Callable[[bytes], list], body: bytes
     ) -> bool:
         try:
@@ -216,10 +218,10 @@
             # A truncated answer must not end the reader: the process would
             # stay with its view for good, and nothing would show it.
             self._failures += 1
-            self._note(False, f'unreadable answer: {error!r}')
+            self._set_available(False, f'unreadable answer: {error!r}')
             return False
         if parse is parse_documents:
             self._offer(parsed)
         else:
-            self._take_list(parsed)
+            self._on_live_list(parsed)
         return True
--- a/packages/teaseldock-edge/teaseldock_edge/program.py
+++ b/packages/teaseldock-edge/teaseldock_edge/program.py
@@ -38,20 +38,20 @@
     kind = ''
 
     def __init__(
-        self, values: dict[str, typing.Any], decisions: node.Node
+        self, values: dict[str, typing.Any], local_node: node.Node
     ) -> None:
         """Build all parts; nothing is opened before :meth:`start`.
 
         :param values: checked settings, by name.
         """
         self._values = values
-        self._node = decisions
+        self._node = local_node
         self._keys: tuple[bytes, ...] = values['seal-keys']
         self._traffic = traffic.Traffic(time.monotonic())
         self._stopping = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
         self._leaving = False
-        self._greeted_at = 0.0
+        self._peers_pinged_at = 0.0
         self._faults = 0
         self._dropped: dict[str, int] = {}
         self._peer = sockets.DatagramSocket(self._on_peer, place='--peer')
@@ -63,16 +63,16 @@
             ready=lambda: self._node.ready and not self._leaving,
         )
         self._documents = documents_exchange.DocumentsExchange(
-            decisions,
+            local_node,
             keys=self._keys,
             offer=self._offer,
             count=self._count,
         )
         self._platform = platform_client.PlatformClient(
             values['platform'],
-            decisions,
+            local_node,
             offer=self._offer,
-            take_list=self._take_list,
+            on_live_list=self._on_live_list,
             list_interval_s=values['list-interval'],
             start_spread_s=values['start-spread'],
         )
@@ -85,7 +85,7 @@
     def may_stop(self, left_at: float, now: float) -> bool:
         """Tell whether a leaving process may stop now."""
 
-    def perform_other(self, action: messages.Action, now: float) -> None:
+    def perform_specific(self, action: messages.Action, now: float) -> None:
         """Carry out an action that only one kind of program knows."""
         raise TypeError(f'no edge for {type(action).__name__}')
 
@@ -154,24 +154,27 @@
                 # A fault in one tick must not end all ticks: heartbeats would
                 # stop, and the process would be taken for dead while it still
                 # answers callers.
-                self._note_fault(error)
+                self._record_fault(error)
             await asyncio.sleep(self._node.tick_interval(now))
 
     def _tick(self, now: float) -> None:
         self.perform(self._node.tick(now))
         self.on_tick(now)
-        self._greet(now)
+        self._ping_initial_peers(now)
         self._log_changes()
 
-    def _note_fault(self, error: Exception) -> None:
+    def _record_fault(self, error: Exception) -> None:
         self._faults += 1
         if self._faults == 1:
             LOG.exception('a tick failed; counted from now on', error=error)
 
-    def _greet(self, now: float) -> None:
-        if self._node.members.synchronised or now - self._greeted_at < GREET_S:
+    def _ping_initial_peers(self, now: float) -> None:
+        if (
+            self._node.members.synchronised
+            or now - self._peers_pinged_at < GREET_S
+        ):
             return
-        self._greeted_at = now
+        self._peers_pinged_at = now
         self.perform(self._node.ping_addresses(self._values['peers'], now))
 
     def _log_changes(self) -> None:
@@ -205,7 +208,7 @@
         self.perform(self._node.offer(documents, now, wall_s=time.time()))
         self._log_changes()
 
-    def _take_list(self, listed: list[roster.ListedInstance]) -> None:
+    def _on_live_list(self, listed: list[roster.ListedInstance]) -> None:
         self.perform(self._node.live_list(listed, time.monotonic()))
 
     def perform(self, actions: typing.Iterable[messages.Action]) -> None:
@@ -229,7 +232,7 @@
                         self._documents.fetch(action.host, action.port)
                     )
                 case _:
-                    self.perform_other(action, now)
+                    self.perform_specific(action, now)
 
     def status(self) -> dict[str, typing.Any]:
         """Return figures for the status page and the metrics."""
@@ -249,7 +252,7 @@
             'platform_reads': self._platform.reads,
             'platform_failures': self._platform.failures,
             'control_bytes_per_s': round(self._traffic.rate),
-            'control_bytes_per_s_max': round(self._traffic.highest),
+            'control_bytes_per_s_max': round(self._traffic.highest_rate),
             'traffic': dict(sorted(self._traffic.totals.items())),
             'dropped_datagrams': dict(sorted(self._dropped.items())),
             'peer_socket': dict(sorted(self._peer.counters.items())),
--- a/packages/teaseldock-edge/teaseldock_edge/reactor.py
+++ b/packages/teaseldock-edge/teaseldock_edge/reactor.py
@@ -49,14 +49,14 @@
         self._on_fault = on_fault
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._signals: dict[int, Callback] = {}
         self._running = False
-        self._wake_in, self._wake_out = os.pipe()
-        os.set_blocking(self._wake_in, False)
-        os.set_blocking(self._wake_out, False)
+        self._wake_read_fd, self._wake_write_fd = os.pipe()
+        os.set_blocking(self._wake_read_fd, False)
+        os.set_blocking(self._wake_write_fd, False)
         self._selector.register(
-            self._wake_in, selectors.EVENT_READ, self._on_signal_bytes
+            self._wake_read_fd, selectors.EVENT_READ, self._on_signal_bytes
         )
 
     @staticmethod
@@ -71,18 +71,18 @@
     def on_signal(self, number: int, callback: Callback) -> None:
         """Call back on the loop after a signal."""
         self._signals[number] = callback
-        signal.set_wakeup_fd(self._wake_out, warn_on_full_buffer=False)
+        signal.set_wakeup_fd(self._wake_write_fd, warn_on_full_buffer=False)
         signal.signal(number, lambda *_: None)
 
     def _on_signal_bytes(self, _: int) -> None:
-        for number in os.read(self._wake_in, 64):
+        for number in os.read(self._wake_read_fd, 64):
             callback = self._signals.get(number)
             if callback is not None:
                 callback()
 
     def watch(
         self,
-        item: typing.Any,
+        fileobj: typing.Any,
         callback: typing.Callable[[int], None],
         *,
         writable: bool = False,
@@ -94,21 +94,21 @@
         events = selectors.EVENT_READ
         if writable:
             events |= selectors.EVENT_WRITE
-        if item.fileno() in self._selector.get_map():
-            self._selector.modify(item, events, callback)
+        if fileobj.fileno() in self._selector.get_map():
+            self._selector.modify(fileobj, events, callback)
             return
-        self._selector.register(item, events, callback)
+        self._selector.register(fileobj, events, callback)
 
-    def unwatch(self, item: typing.Any) -> None:
+    def unwatch(self, fileobj: typing.Any) -> None:
         """Stop calling back for a socket."""
-        if item.fileno() in self._selector.get_map():
-            self._selector.unregister(item)
+        if fileobj.fileno() in self._selector.get_map():
+            self._selector.unregister(fileobj)
 
     def after(self, seconds: float, callback: Callback) -> Timer:
         """Call back once, some seconds from now."""
         timer = Timer(callback)
         due = self.now() + seconds
-        heapq.heappush(self._timers, (due, next(self._order), timer))
+        heapq.heappush(self._timers, (due, next(self._sequence), timer))
         return timer
 
     def stop(self) -> None:
@@ -119,17 +119,17 @@
         """Call back until stopped."""
         self._running = True
         while self._running:
-            for key, events in self._selector.select(self._patience()):
-                self._guard(key.data, events)
+            for key, events in self._selector.select(self._select_timeout()):
+                self._call_guarded(key.data, events)
             self._fire_timers()
 
     def close(self) -> None:
         """Free what the loop holds; the sockets belong to others."""
         self._selector.close()
-        os.close(self._wake_in)
-        os.close(self._wake_out)
+        os.close(self._wake_read_fd)
+        os.close(self._wake_write_fd)
 
-    def _patience(self) -> float | None:
+    def _select_timeout(self) -> float | None:
         if not self._timers:
             return None
         return max(0.0, self._timers[0][0] - self.now())
@@ -138,9 +138,11 @@
         now = self.now()
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
-            self._guard(timer.fire)
+            self._call_guarded(timer.fire)
 
-    def _guard(self, callback: typing.Callable, *arguments: object) -> None:
+    def _call_guarded(
+        self, callback: typing.Callable, *arguments: object
+    ) -> None:
         try:
             callback(*arguments)
         except Exception as error:
--- a/packages/teaseldock-edge/teaseldock_edge/settings.py
+++ b/packages/teaseldock-edge/teaseldock_edge/settings.py
@@ -151,14 +151,14 @@
     return [item for item in TABLE if item.scope in ('both', scope)]
 
 
-def _check_number(setting: Setting, text: str) -> float:
+def _parse_number(setting: Setting, text: str) -> float:
     value = float(text)
     if not setting.low <= value <= setting.high:
         raise ValueError(f'not within {setting.low:g}..{setting.high:g}')
     return value
 
 
-def _check_keys(setting: Setting, text: str) -> tuple[bytes, ...]:
+def _parse_keys(setting: Setting, text: str) -> tuple[bytes, ...]:
     keys = tuple(bytes.fromhex(part) for part in text.split(',') if part)
     if not keys:
         raise ValueError('no key')
@@ -168,7 +168,7 @@
     return keys
 
 
-def _convert(setting: Setting, text: str) -> typing.Any:
+def _parse_value(setting: Setting, text: str) -> typing.Any:
     match setting.kind:
         case 'name':
             if not _NAME.match(text):
@@ -184,9 +184,9 @@
                 raise ValueError('no http or https URL')
             return text.rstrip('/')
         case 'keys':
-            return _check_keys(setting, text)
+            return _parse_keys(setting, text)
         case 'number':
-            return _check_number(setting, text)
+            return _parse_number(setting, text)
         case 'level':
             if text not in LEVELS:
                 raise ValueError('no level')
@@ -217,7 +217,7 @@
                 remedy=f'give the flag or set {setting.variable}',
             )
         try:
-            values[setting.name] = _convert(setting, text)
+            values[setting.name] = _parse_value(setting, text)
         except ValueError as error:
             shown = '(hidden)' if setting.kind == 'keys' else repr(text)
             raise exceptions.SettingError(
@@ -228,7 +228,7 @@
     return values
 
 
-def warn_unknown(
+def unknown_variable_warnings(
     scope: str, environment: typing.Mapping[str, str]
 ) -> list[str]:
     """Return a warning for each variable that no setting reads."""
--- a/packages/teaseldock-edge/teaseldock_edge/sockets.py
+++ b/packages/teaseldock-edge/teaseldock_edge/sockets.py
@@ -93,7 +93,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self._note(error)
+                self._handle_error(error)
                 return
             self._counters['received'] += 1
             self._handler(datagram, address)
@@ -103,16 +103,16 @@
         try:
             self._socket.sendto(datagram, address)
         except OSError as error:
-            self._note(error)
+            self._handle_error(error)
 
     def send_connected(self, datagram: bytes) -> None:
         """Send to the connected peer."""
         try:
             self._socket.send(datagram)
         except OSError as error:
-            self._note(error)
+            self._handle_error(error)
 
-    def _note(self, error: OSError) -> None:
+    def _handle_error(self, error: OSError) -> None:
         name = errno.errorcode.get(error.errno or 0, 'unknown')
         self._counters[f'error_{name.lower()}'] += 1
         if error.errno == errno.ECONNREFUSED and self._on_refused:
--- a/packages/teaseldock-edge/teaseldock_edge/traffic.py
+++ b/packages/teaseldock-edge/teaseldock_edge/traffic.py
@@ -21,7 +21,7 @@
         self._window_start = now
         self._window_bytes = 0
         self._rate = 0.0
-        self._highest = 0.0
+        self._highest_rate = 0.0
 
     @property
     def totals(self) -> collections.Counter[str]:
@@ -29,9 +29,9 @@
         return self._totals
 
     @property
-    def highest(self) -> float:
+    def highest_rate(self) -> float:
         """Return the highest rate of control, bytes a second each way."""
-        return self._highest
+        return self._highest_rate
 
     @property
     def rate(self) -> float:
@@ -55,6 +55,6 @@
             self._window_bytes += size
         if now - self._window_start >= WINDOW_S:
             self._rate = self._window_bytes / (now - self._window_start)
-            self._highest = max(self._highest, self._rate)
+            self._highest_rate = max(self._highest_rate, self._rate)
             self._window_start = now
             self._window_bytes = 0
--- a/tests/edge/test_documents_exchange.py
+++ b/tests/edge/test_documents_exchange.py
@@ -18,7 +18,7 @@
 KEYS = (b'k' * 16,)
 
 
-class _Held:
+class _FakeConfiguration:
     """Documents of a process that asks for all."""
 
     def __init__(self, documents: list[configuration.Document]) -> None:
@@ -52,34 +52,34 @@
     def count(direction: str, message: object, size: int) -> None:
         counted.append((direction, size))
 
-    decisions = types.SimpleNamespace(config=_Held(documents))
+    local_node = types.SimpleNamespace(config=_FakeConfiguration(documents))
     return documents_exchange.DocumentsExchange(
-        typing.cast(typing.Any, decisions),
+        typing.cast(typing.Any, local_node),
         keys=KEYS,
         offer=offered.extend,
         count=count,
     )
 
 
-async def _pass_on(
+async def _fetch_compressed_and_plain(
     offered: list[configuration.Document],
     sent: list[tuple[str, int]],
     received: list[tuple[str, int]],
 ) -> bytes:
     """Fetch by the product, then as a client that reads no coding."""
     source = _exchange(_documents(), [], sent)
-    asker = _exchange([], offered, received)
+    requester = _exchange([], offered, received)
     source.start(flow.Endpoint('127.0.0.1', 0))
     (listener,) = source._server._sockets.values()
     port = listener.getsockname()[1]
-    await asker.fetch('127.0.0.1', port)
+    await requester.fetch('127.0.0.1', port)
     plain = await httpclient.AsyncHTTPClient(force_instance=True).fetch(
         f'http://127.0.0.1:{port}/documents',
         method='POST',
-        body=asker._pack([]),
+        body=requester._pack([]),
         decompress_response=False,
     )
-    asker.close()
+    requester.close()
     source.close()
     return plain.body
 
@@ -89,7 +89,7 @@
     offered: list[configuration.Document] = []
     sent: list[tuple[str, int]] = []
     received: list[tuple[str, int]] = []
-    plain = asyncio.run(_pass_on(offered, sent, received))
+    plain = asyncio.run(_fetch_compressed_and_plain(offered, sent, received))
     assert offered == _documents()
     whole = sum(len(item.content) for item in _documents())
     assert 0 < sent[0][1] < whole / 3
--- a/tests/edge/test_http_exchange.py
+++ b/tests/edge/test_http_exchange.py
@@ -14,7 +14,7 @@
 HOST = '127.0.0.1'
 
 
-class Outcome:
+class RequestRecorder:
     """What the callbacks of requests were told."""
 
     def __init__(self, loop: reactor.Reactor) -> None:
@@ -47,59 +47,63 @@
 
 
 @pytest.fixture
-def outcome() -> typing.Iterator[Outcome]:
+def recorder() -> typing.Iterator[RequestRecorder]:
     """Return a loop whose faults fail the test."""
     faults: list[Exception] = []
     loop = reactor.Reactor(faults.append)
-    yield Outcome(loop)
+    yield RequestRecorder(loop)
     loop.close()
     assert not faults
 
 
-def listening() -> tuple[socket.socket, flow.Endpoint]:
+def listening_socket() -> tuple[socket.socket, flow.Endpoint]:
     """Return a socket that listens on a free port."""
-    item = socket.create_server((HOST, 0))
-    return item, flow.Endpoint(HOST, item.getsockname()[1])
+    listener = socket.create_server((HOST, 0))
+    return listener, flow.Endpoint(HOST, listener.getsockname()[1])
 
 
 def free_endpoint() -> flow.Endpoint:
     """Return an address where nobody listens."""
-    item, endpoint = listening()
-    item.close()
+    listener, endpoint = listening_socket()
+    listener.close()
     return endpoint
 
 
-def test_pages_are_served_over_one_connection(outcome: Outcome) -> None:
+def test_pages_are_served_over_one_connection(
+    recorder: RequestRecorder,
+) -> None:
     """Two requests and an unknown page go over the same connection."""
     endpoint = free_endpoint()
     pages = {'/a': lambda: http_exchange.Page(503, 'text/plain', 'x' * 500)}
-    server = http_exchange.PageServer(outcome.loop, pages)
+    server = http_exchange.PageServer(recorder.loop, pages)
     server.start(endpoint)
-    client = http_exchange.Client(outcome.loop, endpoint)
+    client = http_exchange.Client(recorder.loop, endpoint)
     for path in ('/a?b=1', '/a', '/none'):
-        outcome.get(client, path, timeout_s=2)
-    assert [status for status, _ in outcome.answers] == [503, 503, 404]
-    assert outcome.answers[0][1] == b'x' * 500
-    assert outcome.headers['content-type'] == 'text/plain'
+        recorder.get(client, path, timeout_s=2)
+    assert [status for status, _ in recorder.answers] == [503, 503, 404]
+    assert recorder.answers[0][1] == b'x' * 500
+    assert recorder.headers['content-type'] == 'text/plain'
     client.close()
     server.close()
 
 
-def test_a_silent_server_ends_a_request(outcome: Outcome) -> None:
+def test_a_silent_server_ends_a_request(recorder: RequestRecorder) -> None:
     """A reader waits for ever on a connection that fell silent.
 
     Symptom: changes of the store are not seen any more, without an error.
     Events: a connection is accepted, and nothing comes over it.
     Cause: only a reset or an answer ended the request.
     """
-    item, endpoint = listening()
-    client = http_exchange.Client(outcome.loop, endpoint)
-    outcome.get(client, '/', timeout_s=0.1)
-    assert 'no answer' in outcome.failures[0]
-    item.close()
+    listener, endpoint = listening_socket()
+    client = http_exchange.Client(recorder.loop, endpoint)
+    recorder.get(client, '/', timeout_s=0.1)
+    assert 'no answer' in recorder.failures[0]
+    listener.close()
 
 
-def test_an_answer_that_keeps_coming_is_waited_for(outcome: Outcome) -> None:
+def test_an_answer_that_keeps_coming_is_waited_for(
+    recorder: RequestRecorder,
+) -> None:
     """A read over a slim link begins anew for ever.
 
     Symptom: after a loss of power nothing is served for three seconds;
@@ -107,55 +111,55 @@
     Events: the answer has 300 KB and comes over 2 Mbit/s.
     Cause: the time limit counted from the question, however much had come.
     """
-    item, endpoint = listening()
-    client = http_exchange.Client(outcome.loop, endpoint)
+    listener, endpoint = listening_socket()
+    client = http_exchange.Client(recorder.loop, endpoint)
     parts = [b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n', *[b'ab'] * 4]
 
     def send_next() -> None:
         if not parts:
             return
         peers[0].send(parts.pop(0))
-        outcome.loop.after(0.06, send_next)
+        recorder.loop.after(0.06, send_next)
 
     peers: list[socket.socket] = []
 
     def accept(_: int) -> None:
-        peers.append(item.accept()[0])
-        outcome.loop.unwatch(item)
+        peers.append(listener.accept()[0])
+        recorder.loop.unwatch(listener)
         send_next()
 
-    outcome.loop.watch(item, accept)
-    outcome.get(client, '/', timeout_s=0.15)
-    assert outcome.answers == [(200, b'abababab')]
+    recorder.loop.watch(listener, accept)
+    recorder.get(client, '/', timeout_s=0.15)
+    assert recorder.answers == [(200, b'abababab')]
     peers[0].close()
     client.close()
-    item.close()
+    listener.close()
 
 
-def test_an_answer_that_stalls_is_given_up(outcome: Outcome) -> None:
+def test_an_answer_that_stalls_is_given_up(recorder: RequestRecorder) -> None:
     """A connection that falls silent in the middle ends the request."""
-    item, endpoint = listening()
-    client = http_exchange.Client(outcome.loop, endpoint)
+    listener, endpoint = listening_socket()
+    client = http_exchange.Client(recorder.loop, endpoint)
     peers: list[socket.socket] = []
 
     def accept(_: int) -> None:
-        peers.append(item.accept()[0])
-        outcome.loop.unwatch(item)
+        peers.append(listener.accept()[0])
+        recorder.loop.unwatch(listener)
         peers[0].send(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nab')
 
-    outcome.loop.watch(item, accept)
-    outcome.get(client, '/', timeout_s=0.05)
-    assert 'no answer' in outcome.failures[0]
+    recorder.loop.watch(listener, accept)
+    recorder.get(client, '/', timeout_s=0.05)
+    assert 'no answer' in recorder.failures[0]
     peers[0].close()
-    item.close()
+    listener.close()
 
 
-def test_a_closed_port_fails_at_once(outcome: Outcome) -> None:
+def test_a_closed_port_fails_at_once(recorder: RequestRecorder) -> None:
     """A refused connection is a failure, and the next request tries anew."""
-    client = http_exchange.Client(outcome.loop, free_endpoint())
-    outcome.get(client, '/', timeout_s=2)
-    outcome.get(client, '/', timeout_s=2)
-    assert len(outcome.failures) == 2
+    client = http_exchange.Client(recorder.loop, free_endpoint())
+    recorder.get(client, '/', timeout_s=2)
+    recorder.get(client, '/', timeout_s=2)
+    assert len(recorder.failures) == 2
 
 
 @pytest.mark.parametrize(
@@ -166,37 +170,39 @@
         b'',
     ],
 )
-def test_a_bad_reply_is_a_failure(outcome: Outcome, reply: bytes) -> None:
+def test_a_bad_reply_is_a_failure(
+    recorder: RequestRecorder, reply: bytes
+) -> None:
     """A cut or unreadable answer is none."""
-    item, endpoint = listening()
+    listener, endpoint = listening_socket()
     accepted: list[socket.socket] = []
 
     def answer(_: int) -> None:
-        caller, _address = item.accept()
+        caller, _address = listener.accept()
         caller.sendall(reply)
         caller.shutdown(socket.SHUT_WR)
         accepted.append(caller)
 
-    outcome.loop.watch(item, answer)
-    client = http_exchange.Client(outcome.loop, endpoint)
-    outcome.get(client, '/', timeout_s=2)
-    assert len(outcome.failures) == 1 and not outcome.answers
-    outcome.loop.unwatch(item)
-    for opened in (item, *accepted):
+    recorder.loop.watch(listener, answer)
+    client = http_exchange.Client(recorder.loop, endpoint)
+    recorder.get(client, '/', timeout_s=2)
+    assert len(recorder.failures) == 1 and not recorder.answers
+    recorder.loop.unwatch(listener)
+    for opened in (listener, *accepted):
         opened.close()
 
 
-def test_a_server_outlives_bad_requests(outcome: Outcome) -> None:
+def test_a_server_outlives_bad_requests(recorder: RequestRecorder) -> None:
     """Nonsense from one caller leaves the pages to others."""
     endpoint = free_endpoint()
     pages = {'/a': lambda: http_exchange.Page(200, 'text/plain', 'fine')}
-    server = http_exchange.PageServer(outcome.loop, pages)
+    server = http_exchange.PageServer(recorder.loop, pages)
     server.start(endpoint)
-    rude = socket.create_connection(tuple(endpoint))
-    rude.sendall(b'\x00' * 20000)
-    client = http_exchange.Client(outcome.loop, endpoint)
-    outcome.get(client, '/a', timeout_s=2)
-    assert outcome.answers == [(200, b'fine')]
-    rude.close()
+    bad_client = socket.create_connection(tuple(endpoint))
+    bad_client.sendall(b'\x00' * 20000)
+    client = http_exchange.Client(recorder.loop, endpoint)
+    recorder.get(client, '/a', timeout_s=2)
+    assert recorder.answers == [(200, b'fine')]
+    bad_client.close()
     client.close()
     server.close()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -84,7 +84,7 @@
         built.stop()
 
 
-def traffic(dep: deployment.Deployment, seconds: float) -> list[str]:
+def start_callers(dep: deployment.Deployment, seconds: float) -> list[str]:
     """Start orders, feeds and scans."""
     started = []
     for service, kind, callers, pause_s in (
@@ -115,7 +115,7 @@
     return started
 
 
-def finish(
+def wait_and_judge(
     dep: deployment.Deployment, callers: list[str]
 ) -> dict[str, typing.Any]:
     """Wait for the callers' last answers and judge."""
@@ -124,13 +124,13 @@
     return judge.judge(dep.folder, dep.rules)
 
 
-def assert_safe(verdict: dict[str, typing.Any]) -> None:
+def assert_no_violations(verdict: dict[str, typing.Any]) -> None:
     """Assert what must hold in every history."""
     assert verdict['requests'] > 50
     broken = {
-        promise: verdict[promise]
-        for promise in ('misrouted', 'ran_twice', 'untrue_refusals')
-        if verdict[promise]
+        invariant: verdict[invariant]
+        for invariant in ('misrouted', 'ran_twice', 'untrue_refusals')
+        if verdict[invariant]
     }
     problems = '\n'.join(json.dumps(item) for item in verdict['problems'])
     assert not broken, f'{broken}\n{problems}'
@@ -138,7 +138,7 @@
 
 def test_planned_changes_cut_nothing(dep: deployment.Deployment) -> None:
     """Drain, SIGTERM of agent and balancer, outage: no flow is broken."""
-    callers = traffic(dep, 9.0)
+    callers = start_callers(dep, 9.0)
     time.sleep(1.0)
     dep.rules['leaving'] = ['dispatch-1']
     dep.publish('rules', dep.rules)
@@ -149,9 +149,9 @@
     dep.stop_balancer('balancer-1')
     time.sleep(4.0)
     dep.set_platform(mode='up')
-    verdict = finish(dep, callers)
+    verdict = wait_and_judge(dep, callers)
     dep.processes['balancer-1'].wait(timeout=20)
-    assert_safe(verdict)
+    assert_no_violations(verdict)
     assert not dep.is_running('agent-dispatch-2')
     assert not dep.is_running('balancer-1')
     assert dep.processes['agent-dispatch-2'].returncode == 0
@@ -169,7 +169,7 @@
     the fabric doubles and reorders packets.
     """
     dep.set_faults(drop=0.02, duplicate=0.2, reorder=0.2, late_s=1.0)
-    callers = traffic(dep, 12.0)
+    callers = start_callers(dep, 12.0)
     time.sleep(2.0)
     dep.kill('agent-dispatch-1')
     dep.signal('agent-dispatch-2', signal.SIGSTOP)
@@ -182,8 +182,8 @@
     dep.kill('server-dispatch-3')
     time.sleep(2.0)
     dep.start_server(dep.register['instances'][2])
-    verdict = finish(dep, callers)
-    assert_safe(verdict)
+    verdict = wait_and_judge(dep, callers)
+    assert_no_violations(verdict)
     assert verdict['answered'] > 50
     assert verdict['answered_without_run'] == 0
 
@@ -195,15 +195,15 @@
     when it wakes. Sequence: the server freezes with requests in its socket,
     callers are told "outcome unknown", then it wakes and runs them.
     """
-    callers = traffic(dep, 10.0)
+    callers = start_callers(dep, 10.0)
     time.sleep(1.5)
     dep.signal('server-dispatch-1', signal.SIGSTOP)
     time.sleep(7.0)
     status = dep.statuses()['dispatch-1']
     assert not status['targets'][0]['server_up']
     dep.signal('server-dispatch-1', signal.SIGCONT)
-    verdict = finish(dep, callers)
-    assert_safe(verdict)
+    verdict = wait_and_judge(dep, callers)
+    assert_no_violations(verdict)
     assert verdict['answered'] > 200
     assert verdict['outcome_unknown'] <= 20
     assert not [p for p in verdict['problems'] if p['kind'] == 'feed']
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -43,19 +43,19 @@
     async def run() -> int:
         program = application.BalancerProgram(path._values())
         client = program._platform
-        begun = 0
+        runs = 0
 
         async def work() -> None:
-            nonlocal begun
-            begun += 1
+            nonlocal runs
+            runs += 1
             raise RuntimeError('for the test')
 
-        async def no_pause(seconds: float) -> None:
+        async def no_sleep(seconds: float) -> None:
             await asyncio.sleep(0)
 
-        client._pause = no_pause
-        task = asyncio.create_task(client._keep(work))
-        while begun < 3:
+        client._sleep = no_sleep
+        task = asyncio.create_task(client._run_forever(work))
+        while runs < 3:
             await asyncio.sleep(0)
         task.cancel()
         return client.failures
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -64,5 +64,7 @@
 
 def test_unknown_variable_is_warned_of() -> None:
     """A misspelt variable doesn't pass in silence."""
-    (warning,) = settings.warn_unknown('agent', {'TEASELDOCK_NAEM': 'x'})
+    (warning,) = settings.unknown_variable_warnings(
+        'agent', {'TEASELDOCK_NAEM': 'x'}
+    )
     assert 'TEASELDOCK_NAEM' in warning
