--- a/packages/teaseldock-edge/teaseldock_edge/__init__.py
+++ b/packages/teaseldock-edge/teaseldock_edge/__init__.py
@@ -1,3 +1,3 @@
-"""Give the teaseldock programs their sockets, timers and admin pages."""
+"""Provide sockets, timers, settings, logs and admin pages to the programs."""
 
 from __future__ import annotations
--- a/packages/teaseldock-edge/teaseldock_edge/admin.py
+++ b/packages/teaseldock-edge/teaseldock_edge/admin.py
@@ -16,7 +16,7 @@
 Status = typing.Callable[[], dict[str, typing.Any]]
 
 
-#: Numbers in the status of one target.
+#: Numeric fields of one target in the status; each is a gauge.
 TARGET_FIELDS = (
     'leaving',
     'flows',
@@ -29,7 +29,7 @@
     'searching',
     'announcements_waiting',
 )
-#: Plain numbers of a status that only rise.
+#: Single numbers of the status that are counters; all others are gauges.
 RISING = frozenset(
     {
         'documents_refused',
@@ -44,18 +44,19 @@
 
 
 class StatusCollector:
-    """Turn the numbers of a status page into metrics at each scrape."""
+    """Export the numbers of the status page as metrics at each scrape."""
 
     def __init__(self, status: Status, *, program: str) -> None:
-        """Read ``status`` at each scrape.
+        """Create a collector.
 
-        :param program: ``balancer`` or ``agent``, first word of the names.
+        :param status: returns the current status; called at each scrape.
+        :param program: ``balancer`` or ``agent``; part of the metric names.
         """
         self._status = status
         self._prefix = f'teaseldock_{program}'
 
     def collect(self) -> typing.Iterator[core.Metric]:
-        """Yield a metric for each number, table of numbers and target."""
+        """Yield the metrics of the process and of its targets."""
         for key, value in self._status().items():
             name = f'{self._prefix}_{key}'
             if isinstance(value, (int, float)):
@@ -130,7 +131,7 @@
 
 
 class AdminServer:
-    """The admin address of one process."""
+    """HTTP server on the admin address of one process."""
 
     def __init__(
         self,
@@ -141,7 +142,15 @@
         explain: typing.Callable[..., typing.Any],
         ready: typing.Callable[[], bool],
     ) -> None:
-        """Prepare the pages; nothing is served before :meth:`start`."""
+        """Create the pages; :meth:`start` opens the address.
+
+        :param program: ``balancer`` or ``agent``.
+        :param status: returns the status of the process.
+        :param audit: returns the audit trail.
+        :param explain: returns the placement of a flow; takes the arguments
+            of the query by name.
+        :param ready: returns whether the process is ready.
+        """
         registry = prometheus_client.CollectorRegistry()
         registry.register(StatusCollector(status, program=program))
 
@@ -161,9 +170,9 @@
         self._server = httpserver.HTTPServer(application)
 
     def start(self, endpoint: flow.Endpoint) -> None:
-        """Serve.
+        """Listen on the admin address.
 
-        :raises StartError: if the address can't be had.
+        :raises StartError: if the address can't be bound.
         """
         try:
             self._server.listen(endpoint.port, endpoint.host)
@@ -171,9 +180,9 @@
             raise exceptions.StartError(
                 '--admin',
                 f'{endpoint}: {error.strerror}',
-                remedy='free the address or give another one',
+                remedy='free the address or choose another one',
             ) from error
 
     def close(self) -> None:
-        """Stop serving."""
+        """Close the listening socket."""
         self._server.stop()
--- a/packages/teaseldock-edge/teaseldock_edge/command_line.py
+++ b/packages/teaseldock-edge/teaseldock_edge/command_line.py
@@ -1,4 +1,4 @@
-"""Read the command line that balancer and agent share."""
+"""Parse and run the commands that balancer and agent share."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 Commands:
   run      Serve until SIGTERM, then stop gracefully.
-  check    Check register and rules as a whole, without starting.
-  explain  Tell which target a flow would get and why, at which revision;
-           from the documents given, or from the running program.
-  status   Print the running program's figures.
-  audit    Print the running program's trail of changes.
+  check    Check register and rules together, without starting.
+  explain  Show which target a flow would get, why, and at which revision;
+           from the given documents, or from the running program.
+  status   Print the status of the running program.
+  audit    Print the audit trail of the running program.
 
 A document is a file named KEY.json, KEY being register, rules, or a part such
 as rules.payroll. Caller and service are host:port.
@@ -50,9 +50,9 @@
   -h, --help                  Show this text.
   --version                   Show the version.
 
-Exit codes: 0 done, 1 failed, 2 wrong command line, 3 setting, 4 document,
-5 documents that do not fit together, 6 revision, 7 address taken, 8 admin
-address silent.
+Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid setting,
+4 invalid document, 5 inconsistent documents, 6 revision, 7 address in use,
+8 no answer from the admin address.
 """
 _USAGE_EXIT_CODE = 2
 
@@ -66,7 +66,7 @@
             content = pathlib.Path(path).read_bytes()
         except OSError as error:
             raise exceptions.DocumentError(
-                path, str(error.strerror), remedy='name a readable file'
+                path, str(error.strerror), remedy='give a readable file'
             ) from error
         key = pathlib.Path(path).stem
         documents.append(configuration.Document(key, 1, 'file', content))
@@ -122,14 +122,14 @@
         return flow.parse_endpoint(text)
     except ValueError as error:
         raise exceptions.SettingError(
-            place, f'{text!r} is not usable ({error})', remedy='give host:port'
+            place, f'{text!r} is invalid ({error})', remedy='give host:port'
         ) from error
 
 
 def _read_setting(
     scope: str, name: str, arguments: dict[str, typing.Any]
 ) -> typing.Any:
-    """Read one setting alone; commands need few of them."""
+    """Read one setting; placeholders stand for other required settings."""
     given = {f'--{name}': arguments.get(f'--{name}')}
     placeholders = {
         'name': 'x',
@@ -152,7 +152,7 @@
         raise exceptions.AdminError(
             f'--admin {endpoint.host}:{endpoint.port}',
             str(error),
-            remedy='check that the program runs and the address is its own',
+            remedy='check that the program runs and uses this admin address',
         ) from error
 
 
@@ -194,7 +194,9 @@
 
     :param scope: ``balancer`` or ``agent``.
     :param summary: first line of the help.
-    :param build: makes the program from checked settings.
+    :param build: creates the program from validated settings.
+    :param argv: arguments without the program name; default ``sys.argv``.
+    :returns: the exit code; the help text lists the codes.
     """
     text = _USAGE.format(
         name=f'teaseldock-{scope}',
--- a/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
@@ -16,9 +16,9 @@
 from teaseldock import node
 from teaseldock import wire
 
-#: Seconds that a fetch may take.
+#: Time limit of one fetch, seconds.
 FETCH_TIMEOUT_S = 2.0
-#: Effort of compressing: the least leaves a quarter of a document.
+#: gzip level; the lowest already reduces a document to a quarter.
 COMPRESSION = 1
 
 Offer = typing.Callable[[list[configuration.Document]], None]
@@ -26,14 +26,17 @@
 
 
 class _DocumentsHandler(web.RequestHandler):
-    """Answer a sealed list of what is held with what is lacking."""
+    """Return the documents that a peer lacks.
+
+    The request is a sealed list of the documents that the peer holds.
+    """
 
     def initialize(self, exchange: DocumentsExchange) -> None:
-        """Take the exchange that answers."""
+        """Set the exchange that creates the responses."""
         self._exchange = exchange
 
     def post(self) -> None:
-        """Answer those that know the key."""
+        """Answer a request that is sealed with a valid key."""
         try:
             message = wire.unpack(self.request.body, keys=self._exchange.keys)
         except exceptions.TeaseldockError:
@@ -51,7 +54,7 @@
 
 
 class DocumentsExchange:
-    """Pass documents between processes; values may be megabytes."""
+    """Transfer documents between processes; one may have megabytes."""
 
     def __init__(
         self,
@@ -61,11 +64,13 @@
         offer: Offer,
         count: Count,
     ) -> None:
-        """Prepare; nothing is served before :meth:`start`.
+        """Create the server and the client; :meth:`start` opens the address.
 
-        :param keys: keys between processes, the newest first.
-        :param offer: takes documents that were fetched.
-        :param count: counts control traffic.
+        :param local_node: node whose documents are served and updated.
+        :param keys: keys that seal messages between processes, newest first.
+        :param offer: called with fetched documents.
+        :param count: called with direction, message and size in bytes of
+            each message, to count control traffic.
         """
         self._node = local_node
         self._keys = keys
@@ -82,13 +87,13 @@
 
     @property
     def keys(self) -> tuple[bytes, ...]:
-        """Return the keys between processes."""
+        """Return the keys that seal messages between processes."""
         return self._keys
 
     def start(self, endpoint: flow.Endpoint) -> None:
-        """Serve on the peer address.
+        """Listen on the peer address.
 
-        :raises StartError: if the address can't be had.
+        :raises StartError: if the address can't be bound.
         """
         try:
             self._server.listen(endpoint.port, endpoint.host)
@@ -96,7 +101,7 @@
             raise exceptions.StartError(
                 '--peer',
                 f'{endpoint}: {error.strerror}',
-                remedy='free the address or give another one',
+                remedy='free the address or choose another one',
             ) from error
 
     def close(self) -> None:
@@ -105,12 +110,15 @@
         self._client.close()
 
     def answer(self, message: messages.Documents) -> bytes:
-        """Return the documents that an asker lacks, sealed."""
+        """Return the documents that a peer lacks, as a sealed message.
+
+        :param message: lists the documents that the peer holds.
+        """
         held = node.documents_from_message(message.documents)
         return self._pack(self._node.config.documents_missing_from(held))
 
     def count_sent(self, size: int) -> None:
-        """Count bytes as they go out, compressed or not."""
+        """Count bytes on the wire, after compression if there is any."""
         self._count('sent', messages.Documents([]), size)
 
     def _pack(self, documents: list[configuration.Document]) -> bytes:
@@ -119,9 +127,10 @@
         return wire.pack(message, key=self._keys[0])
 
     async def fetch(self, host: str, port: int) -> None:
-        """Fetch from a peer and offer what comes; failures are harmless.
+        """Fetch documents from a peer and offer them to the node.
 
-        The next heartbeat of any peer that is ahead leads to another fetch.
+        Failures are ignored: the next heartbeat of any peer with newer
+        documents starts another fetch.
         """
         if (host, port) in self._fetching:
             return
--- a/packages/teaseldock-edge/teaseldock_edge/http_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/http_exchange.py
@@ -1,4 +1,4 @@
-"""Speak HTTP/1.1 on the reactor: ask one server, and serve a few pages."""
+"""HTTP/1.1 client and page server on the reactor."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
     from teaseldock import flow
     from teaseldock_edge import reactor
 
-#: Bytes read in one go.
+#: Bytes read by one system call.
 READ_BYTES = 65536
-#: Largest body of an answer: a megabyte of items with their encoding.
+#: Largest body of an answer, bytes: a megabyte of items, encoded.
 MAX_BODY_BYTES = 8_000_000
-#: Connections that wait to be accepted by a page server.
+#: Listen backlog of a page server.
 BACKLOG = 64
-#: Seconds after which a connection of a page server without a request is
-#: closed; who asks twice a second keeps it.
+#: Seconds without a request after which a page server closes a connection.
+#: A client that sends two requests a second keeps its connection.
 IDLE_S = 10.0
-#: Seconds that an answer which has begun may pause beyond its time limit, and
-#: that it may take in all: 300 KB need 1.2 s of a link of 2 Mbit/s when
-#: nothing else uses it. Given up after 1.5 s, a read begins anew for ever.
+#: Time limits of an answer that has begun to arrive, seconds: longest gap
+#: between two parts once the request has timed out, and longest total time.
+#: 300 KB take 1.2 s on an otherwise idle link of 2 Mbit/s; with a fixed
+#: timeout of 1.5 s the client restarted such a read again and again.
 STALL_S = 0.5
 LONGEST_ANSWER_S = 10.0
 #: Largest request that a page server reads.
@@ -32,12 +33,11 @@
 
 
 class Answer(typing.NamedTuple):
-    """What a server answered.
+    """The response of a server.
 
     :ivar status: HTTP status.
-    :ivar headers: values by name in lower case; of a name that stands there
-        twice, the last.
-    :ivar body: as it came.
+    :ivar headers: values by lower-case name; of a repeated header, the last.
+    :ivar body: body without decoding.
     """
 
     status: int
@@ -49,11 +49,11 @@
 
 
 class Page(typing.NamedTuple):
-    """An answer of a page server.
+    """A response of the page server.
 
     :ivar status: HTTP status.
-    :ivar content_type: of the body.
-    :ivar body: text.
+    :ivar content_type: value of the header ``Content-Type``.
+    :ivar body: text of the body.
     """
 
     status: int
@@ -62,7 +62,7 @@
 
 
 class _Collector:
-    """Collect one answer as the parser finds its parts."""
+    """Parser callbacks that collect the headers and body of one answer."""
 
     def __init__(self) -> None:
         self.headers: dict[str, str] = {}
@@ -80,10 +80,10 @@
 
 
 class Client:
-    """One connection to one server, one request at a time."""
+    """Client with one connection to one server; one request at a time."""
 
     def __init__(self, loop: reactor.Reactor, address: flow.Endpoint) -> None:
-        """Prepare; connects with the first request."""
+        """Create a client; the first request opens the connection."""
         self._loop = loop
         self._address = address
         self._socket: socket.socket | None = None
@@ -105,11 +105,15 @@
         on_answer: OnAnswer,
         on_failure: OnFailure,
     ) -> None:
-        """Ask; exactly one of the two callbacks follows.
+        """Send a GET request; exactly one of the two callbacks is called.
 
-        A connection may fall silent for good without a reset, so every
-        request has a time limit, and the connection is given up with it. An
-        answer whose bytes keep coming is waited for beyond it.
+        A connection may stop delivering data without a reset. Every request
+        therefore has a timeout, after which the client also closes the
+        connection. The timeout is extended while parts of the answer arrive.
+
+        :param timeout_s: time limit until the answer, seconds.
+        :param on_answer: called with the complete answer.
+        :param on_failure: called with a description of the failure.
         """
         self._started_at = self._loop.now()
         self._timeout_s = timeout_s
@@ -139,7 +143,7 @@
             pass
 
     def close(self) -> None:
-        """Close the connection; no callback follows."""
+        """Close the connection without calling a callback."""
         if self._timer is not None:
             self._timer.cancel()
         self._on_answer = self._on_failure = None
@@ -163,7 +167,7 @@
         self._fail(f'no answer within {waited_s} s')
 
     def _extend_timeout(self) -> None:
-        """Give an answer that is under way more time."""
+        """Extend the time limit of an answer that has begun to arrive."""
         now = self._loop.now()
         until = max(self._started_at + self._timeout_s, now + STALL_S)
         until = min(until, self._started_at + LONGEST_ANSWER_S)
@@ -203,7 +207,7 @@
                 self._fail('connection closed')
                 return
             if self._parser is None:
-                # Bytes that nobody asked for: the connection is unusable.
+                # Data without a request: the connection is unusable.
                 self._disconnect()
                 return
             self._parser.feed_data(part)
@@ -231,7 +235,7 @@
 
 
 class _Connection:
-    """One caller of a page server."""
+    """One client connection of a page server."""
 
     def __init__(
         self, server: PageServer, loop: reactor.Reactor, sock: socket.socket
@@ -267,8 +271,8 @@
             f'Content-Type: {page.content_type}\r\n'
             f'Content-Length: {len(body)}\r\n\r\n'
         )
-        # Short answers fit into the socket's buffer; a caller that doesn't
-        # read gets a cut answer and is closed, not waited for.
+        # A short response fits into the send buffer of the socket. A client
+        # that does not read gets a truncated response and is disconnected.
         sent = self._socket.send(head.encode() + body)
         if sent < len(head) + len(body):
             self.close()
@@ -297,16 +301,16 @@
 
 
 class PageServer:
-    """Answer GET requests with pages made at each request."""
+    """Serve pages that are created at each request."""
 
     def __init__(
         self,
         loop: reactor.Reactor,
         pages: dict[str, typing.Callable[[], Page]],
     ) -> None:
-        """Prepare; nothing is served before :meth:`start`.
+        """Create a server; :meth:`start` opens the address.
 
-        :param pages: by path.
+        :param pages: functions that create the pages, by path.
         """
         self._loop = loop
         self._pages = pages
@@ -314,9 +318,9 @@
         self._connections: set[_Connection] = set()
 
     def start(self, address: flow.Endpoint) -> None:
-        """Serve.
+        """Listen on an address.
 
-        :raises OSError: if the address can't be had.
+        :raises OSError: if the address can't be bound.
         """
         self._socket.setblocking(False)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -325,28 +329,28 @@
         self._loop.watch(self._socket, self._on_connection)
 
     def close(self) -> None:
-        """Stop serving."""
+        """Close the listening socket and all connections."""
         for connection in list(self._connections):
             connection.close()
         self._loop.unwatch(self._socket)
         self._socket.close()
 
     def page(self, path: str) -> Page:
-        """Return the page at a path."""
+        """Create the page of a path; the query is ignored."""
         make = self._pages.get(path.partition('?')[0])
         if make is None:
             return Page(404, 'text/plain', 'no such page\n')
         return make()
 
     def remove_connection(self, connection: _Connection) -> None:
-        """Drop a closed connection."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def _on_connection(self, _: int) -> None:
         try:
             sock, _address = self._socket.accept()
         except OSError:
-            # The caller went away between the wake-up and now.
+            # The client closed the connection before it was accepted.
             return
         sock.setblocking(False)
         self._connections.add(_Connection(self, self._loop, sock))
--- a/packages/teaseldock-edge/teaseldock_edge/line_log.py
+++ b/packages/teaseldock-edge/teaseldock_edge/line_log.py
@@ -1,4 +1,4 @@
-"""Write structured lines to standard output, bounded and without blocking."""
+"""Write structured log lines at a limited rate and without blocking."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 from teaseldock.packets import reporting
 
-#: Lines a second that are written in the long run, and at once. A line takes
-#: about 15 us and 250 bytes: at the limit 0.5 % of a core and 75 KB/s.
+#: Rate and burst size of the token bucket that limits lines. A line takes
+#: about 15 us and 250 bytes: at this rate 0.5 % of a core and 75 KB/s.
 LINES_PER_S = 300.0
 LINES_AT_ONCE = 600.0
-#: Lines kept while the reader of the output is slow; more are dropped.
+#: Largest queue of lines while the output is slow; further lines are dropped.
 LINES_WAITING = 2000
-#: Lines written in one call.
+#: Lines written by one system call.
 LINES_A_WRITE = 100
-#: Seconds between two counts of what was dropped.
+#: Seconds between two log lines with the number of dropped lines.
 SUMMARY_S = 5.0
 _ENCODER = msgspec.json.Encoder()
 
 
 class LineLog(reporting.Reporter):
-    """One JSON object a line, with time, process and event."""
+    """Log with one JSON object per line: time, process, event and fields."""
 
     def __init__(self, fd: int, *, now: typing.Callable[[], float]) -> None:
-        """Write to a file descriptor, which is set not to block.
+        """Create a log and set its file descriptor to non-blocking.
 
-        :param fd: where lines go.
-        :param now: steady seconds.
+        :param fd: file descriptor that lines are written to.
+        :param now: returns seconds of a monotonic clock.
         """
         self._fd = fd
         self._now = now
@@ -46,15 +46,15 @@
 
     @property
     def dropped(self) -> int:
-        """Return lines dropped since the start."""
+        """Return the number of lines dropped since the start."""
         return self._dropped
 
     def name_process(self, name: str) -> None:
-        """Add a name to all further lines."""
+        """Set the process name in all further lines."""
         self._name = name
 
     def note(self, event: str, **fields: typing.Any) -> None:
-        """Queue one line, or count it as dropped."""
+        """Queue one line; drop and count it above the limits."""
         now = self._now()
         refill = (now - self._refilled_at) * LINES_PER_S
         self._tokens = min(LINES_AT_ONCE, self._tokens + refill)
@@ -78,7 +78,10 @@
         self._waiting.append(_ENCODER.encode(line) + b'\n')
 
     def flush(self) -> None:
-        """Write what the output takes now; to be called from a timer."""
+        """Write queued lines until the output would block.
+
+        A timer must call this regularly.
+        """
         now = self._now()
         if self._dropped and now - self._summary_at >= SUMMARY_S:
             self._summary_at = now
@@ -94,8 +97,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads the output any more. Serving callers goes on;
-                # the loss shows in the counter of the metrics.
+                # The output is closed. The process continues to serve; the
+                # metrics count the dropped lines.
                 self._dropped += len(self._waiting) + 1
                 self._waiting.clear()
                 self._unwritten = b''
--- a/packages/teaseldock-edge/teaseldock_edge/logs.py
+++ b/packages/teaseldock-edge/teaseldock_edge/logs.py
@@ -22,8 +22,8 @@
 def start(level: str) -> logbook.Handler:
     """Send log lines to standard error.
 
-    :param level: least level that is written.
-    :returns: the handler, to be ended with ``pop_application``.
+    :param level: lowest level that is written.
+    :returns: the handler; the caller removes it with ``pop_application``.
     """
     handler = logbook.StreamHandler(sys.stderr, level=level.upper())
     handler.formatter = _format
--- a/packages/teaseldock-edge/teaseldock_edge/metrics_page.py
+++ b/packages/teaseldock-edge/teaseldock_edge/metrics_page.py
@@ -1,7 +1,7 @@
-"""Show a node's counters and histograms to scrapers.
+"""Export the counters and histograms of a node in the Prometheus format.
 
-The library prometheus_client is loaded with the first scrape: it takes 4 MB,
-and most processes are never asked.
+prometheus_client is imported at the first scrape: it takes 4 MB, and most
+processes are never scraped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class _Collector:
-    """Yield metrics from a node at each scrape."""
+    """Read the metrics of a node at each scrape."""
 
     def __init__(self, packet_node: node.Node, dropped_lines: int) -> None:
         self._node = packet_node
@@ -78,7 +78,11 @@
 
 
 def page(packet_node: node.Node, *, dropped_lines: int) -> http_exchange.Page:
-    """Return the metrics of a process."""
+    """Return the metrics of a process.
+
+    :param packet_node: node of the process.
+    :param dropped_lines: log lines dropped since the start.
+    """
     import prometheus_client
 
     registry = prometheus_client.CollectorRegistry()
--- a/packages/teaseldock-edge/teaseldock_edge/platform_client.py
+++ b/packages/teaseldock-edge/teaseldock_edge/platform_client.py
@@ -1,4 +1,4 @@
-"""Read the platform: watch the configuration, read the live list."""
+"""Watch the platform's configuration and poll its live list."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 LOG = logbook.Logger('platform')
 
-#: Seconds that one watch waits for news.
+#: Time that the platform may hold one watch open, seconds.
 WATCH_S = 20.0
-#: Seconds between two tries while the platform is down, spread by half.
+#: Seconds between two attempts while the platform is down, plus or minus 25 %.
 RETRY_S = 0.5
-#: Seconds until a process that is no reader looks again whether it is one.
+#: Seconds after which a process that is not a reader checks its role again.
 IDLE_S = 1.0
-#: Largest answer: every part of register and rules.
+#: Largest answer, bytes; it holds all parts of register and rules.
 MAX_ANSWER_BYTES = 64_000_000
-#: HTTP status of contents that did not change.
+#: HTTP status 304, Not Modified.
 _UNCHANGED = 304
-#: Stands for the tag of a platform that gives none.
+#: Used as the entity tag if the platform sends none.
 _NO_ETAG = '"none"'
 
 Offer = typing.Callable[[list[configuration.Document]], None]
@@ -36,7 +36,7 @@
 
 
 def parse_documents(body: bytes) -> list[configuration.Document]:
-    """Read the answer of a watch."""
+    """Parse the documents in the answer to a watch."""
     return [
         configuration.Document(
             item['key'],
@@ -49,7 +49,7 @@
 
 
 def parse_instances(body: bytes) -> list[roster.ListedInstance]:
-    """Read the live list."""
+    """Parse the live list."""
     return [
         roster.ListedInstance(
             item['name'],
@@ -64,7 +64,7 @@
 
 
 class PlatformClient:
-    """Read on behalf of a node, for as long as it is a reader."""
+    """Platform client of a node; reads while the node is a reader."""
 
     def __init__(
         self,
@@ -76,13 +76,15 @@
         list_interval_s: float,
         start_spread_s: float,
     ) -> None:
-        """Prepare; nothing is read before :meth:`start`.
+        """Create a client; :meth:`start` begins to read.
 
-        :param offer: takes documents.
-        :param on_live_list: called with each live list that was read.
+        :param url: base URL of the platform.
+        :param local_node: node that the client reads for.
+        :param offer: called with the documents of each answer.
+        :param on_live_list: called with each live list.
         :param list_interval_s: seconds between two reads of the list.
-        :param start_spread_s: seconds over which starts are spread, so that a
-            fleet which starts as one doesn't read as one.
+        :param start_spread_s: longest random delay of the first read, seconds.
+            It spreads the load of a fleet that starts at the same time.
         """
         self._url = url
         self._node = local_node
@@ -102,16 +104,16 @@
 
     @property
     def reads(self) -> int:
-        """Return how many calls were made."""
+        """Return the number of requests to the platform."""
         return self._reads
 
     @property
     def failures(self) -> int:
-        """Return how many calls failed."""
+        """Return the number of failed requests."""
         return self._failures
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the tasks that read."""
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._run_forever(self._watch)),
@@ -119,7 +121,7 @@
         ]
 
     def close(self) -> None:
-        """Stop reading."""
+        """Cancel the tasks and close the connections."""
         for task in self._tasks:
             task.cancel()
         self._client.close()
@@ -127,9 +129,11 @@
     async def _get(
         self, path: str, *, timeout_s: float, etag: str = ''
     ) -> httpclient.HTTPResponse | None:
-        """Read once; None if there is no answer.
+        """Send one GET request.
 
-        :param etag: of the last answer; unchanged contents are not sent again.
+        :param etag: entity tag of the last answer; the platform does not send
+            unchanged contents again.
+        :returns: the response, or None if the request failed.
         """
         self._reads += 1
         headers = {'If-None-Match': etag} if etag else {}
@@ -164,7 +168,10 @@
     async def _run_forever(
         self, work: typing.Callable[[], typing.Awaitable[None]]
     ) -> None:
-        """Begin again after a fault, which would end the reading for good."""
+        """Run a reader and restart it after an exception.
+
+        Otherwise an exception would end the reading permanently.
+        """
         while True:
             try:
                 await work()
@@ -180,7 +187,7 @@
             if not first and not self._node.is_reader:
                 await self._sleep(IDLE_S)
                 continue
-            # The first read takes whatever there is; a watch would wait.
+            # The first read returns the current documents without waiting.
             wait_s = 0 if first else WATCH_S
             since = self._node.config.digest.generation
             path = f'/v1/documents?since={since}&wait_s={wait_s:g}'
@@ -192,10 +199,10 @@
                 await self._sleep(RETRY_S)
 
     async def _read_list(self) -> None:
-        """Read the part of the list about this data centre.
+        """Poll the live list of this data centre.
 
-        Other data centres' members come by rumour; their lists would grow
-        with the whole fleet.
+        Members of other data centres arrive by gossip: a list of the whole
+        fleet would grow with its size.
         """
         await asyncio.sleep(random.uniform(0, self._start_spread_s))
         data_centre = self._node.members.own.data_centre
@@ -215,8 +222,8 @@
         try:
             parsed = parse(body)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            # A truncated answer must not end the reader: the process would
-            # stay with its view for good, and nothing would show it.
+            # A truncated answer must not end this task: the process would keep
+            # an outdated view without any sign of it.
             self._failures += 1
             self._set_available(False, f'unreadable answer: {error!r}')
             return False
--- a/packages/teaseldock-edge/teaseldock_edge/program.py
+++ b/packages/teaseldock-edge/teaseldock_edge/program.py
@@ -1,4 +1,4 @@
-"""Run the decisions of one process: what balancers and agents share."""
+"""Run one process: the part that balancer and agent share."""
 
 from __future__ import annotations
 
@@ -26,23 +26,24 @@
 
 LOG = logbook.Logger('program')
 
-#: Seconds between two looks whether a graceful stop is complete.
+#: Seconds between two checks whether a graceful stop is complete.
 STOP_CHECK_S = 0.1
-#: Seconds between two greetings while no peer has answered.
+#: Seconds between two pings to the initial peers until a peer has answered.
 GREET_S = 1.0
 
 
 class Program(abc.ABC):
-    """Carry datagrams, time and documents to decisions, and actions out."""
+    """Connect a node to sockets and timers, and carry out its actions."""
 
     kind = ''
 
     def __init__(
         self, values: dict[str, typing.Any], local_node: node.Node
     ) -> None:
-        """Build all parts; nothing is opened before :meth:`start`.
+        """Create all components; :meth:`start` opens the addresses.
 
-        :param values: checked settings, by name.
+        :param values: validated settings, by name.
+        :param local_node: node that makes the decisions of this process.
         """
         self._values = values
         self._node = local_node
@@ -83,17 +84,23 @@
 
     @abc.abstractmethod
     def may_stop(self, left_at: float, now: float) -> bool:
-        """Tell whether a leaving process may stop now."""
+        """Return whether a leaving process may stop now.
+
+        :param left_at: monotonic time at which the process began to leave.
+        """
 
     def perform_specific(self, action: messages.Action, now: float) -> None:
-        """Carry out an action that only one kind of program knows."""
-        raise TypeError(f'no edge for {type(action).__name__}')
+        """Carry out an action that only one program has.
+
+        :raises TypeError: if this program does not support the action.
+        """
+        raise TypeError(f'unsupported action {type(action).__name__}')
 
     def on_tick(self, now: float) -> None:
-        """Do what only one kind of program does at each tick."""
+        """Run the tasks of this program at each tick; none by default."""
 
     async def start(self) -> None:
-        """Open the addresses and begin."""
+        """Open the addresses and start all tasks."""
         self._peer.start(bind=self._values['peer'])
         self._documents.start(self._values['peer'])
         self._admin.start(self._values['admin'])
@@ -102,7 +109,7 @@
         LOG.info('started', program=self.kind, name=self._values['name'])
 
     async def close(self) -> None:
-        """Close the addresses."""
+        """Cancel all tasks and close the addresses."""
         for task in list(self._tasks):
             task.cancel()
         self._platform.close()
@@ -112,7 +119,7 @@
         LOG.info('stopped', program=self.kind, name=self._values['name'])
 
     async def run(self) -> None:
-        """Start, serve until a signal ends it, close."""
+        """Start, serve until a graceful stop after a signal, and close."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.leave)
@@ -121,7 +128,7 @@
         await self.close()
 
     def leave(self) -> None:
-        """Begin a graceful stop; a second call changes nothing."""
+        """Begin a graceful stop; further calls have no effect."""
         if self._leaving:
             return
         self._leaving = True
@@ -151,9 +158,9 @@
             try:
                 self._tick(now)
             except Exception as error:
-                # A fault in one tick must not end all ticks: heartbeats would
-                # stop, and the process would be taken for dead while it still
-                # answers callers.
+                # An exception in one tick must not end the loop: heartbeats
+                # would stop, and peers would declare the process dead while it
+                # still answers callers.
                 self._record_fault(error)
             await asyncio.sleep(self._node.tick_interval(now))
 
@@ -186,7 +193,7 @@
         self._traffic.count(direction, message, size, time.monotonic())
 
     def count_drop(self, reason: str) -> None:
-        """Count a datagram that was dropped."""
+        """Count a dropped datagram by reason."""
         self._dropped[reason] = self._dropped.get(reason, 0) + 1
 
     def _on_peer(self, datagram: bytes, address: tuple[str, int]) -> None:
@@ -212,7 +219,7 @@
         self.perform(self._node.live_list(listed, time.monotonic()))
 
     def perform(self, actions: typing.Iterable[messages.Action]) -> None:
-        """Carry out actions."""
+        """Carry out actions of the node."""
         now = time.monotonic()
         for action in actions:
             match action:
@@ -235,7 +242,7 @@
                     self.perform_specific(action, now)
 
     def status(self) -> dict[str, typing.Any]:
-        """Return figures for the status page and the metrics."""
+        """Return the contents of the status page and the metrics."""
         digest = self._node.config.digest
         return {
             'name': self._values['name'],
@@ -276,7 +283,13 @@
 
 
 def own_member(values: dict[str, typing.Any], role: str) -> messages.Member:
-    """Return this process as others shall know it."""
+    """Return the membership record of this process.
+
+    The incarnation is the wall-clock time in milliseconds.
+
+    :param values: validated settings, by name.
+    :param role: role of the process, from :mod:`teaseldock.roster`.
+    """
     peer = values['peer']
     return roster.new_member(
         values['name'],
--- a/packages/teaseldock-edge/teaseldock_edge/reactor.py
+++ b/packages/teaseldock-edge/teaseldock_edge/reactor.py
@@ -1,9 +1,9 @@
-"""Wait for sockets, timers and signals on one thread.
+"""Event loop for sockets, timers and signals on one thread.
 
-The packet programs use this in place of tornado's loop. Measured on one
-machine: tornado with its client and server takes 25 MB and 125 ms to import,
-this with the HTTP parser 13 MB and 35 ms; an agent has little else in memory,
-and the time to import is time without service after a loss of power.
+The packet programs use this instead of the tornado loop. Importing tornado
+with its HTTP client and server takes 25 MB and 125 ms; importing this module
+with the HTTP parser takes 13 MB and 35 ms. An agent has little else in memory,
+and after a power failure the import delays the return of service.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 
 
 class Timer:
-    """A call that is due at some time, and can be cancelled."""
+    """A scheduled callback that can be cancelled."""
 
     def __init__(self, callback: Callback) -> None:
-        """Wrap a callback."""
+        """Create a timer for a callback."""
         self._callback: Callback | None = callback
 
     def cancel(self) -> None:
-        """Make sure that the call doesn't happen."""
+        """Prevent the callback from being called."""
         self._callback = None
 
     def fire(self) -> None:
-        """Call, unless cancelled."""
+        """Call the callback unless the timer is cancelled."""
         if self._callback is not None:
             self._callback()
 
 
 class Reactor:
-    """Call back when a socket is ready, a time has come or a signal came."""
+    """Event loop that calls back for ready sockets, timers and signals."""
 
     def __init__(self, on_fault: typing.Callable[[Exception], None]) -> None:
-        """Prepare; nothing runs before :meth:`run`.
+        """Create a loop; :meth:`run` starts it.
 
-        :param on_fault: told of an exception that a callback let through. One
-            bad packet or timer must not end the process: it would drop the
-            packets of all other flows until it has started again.
+        :param on_fault: called with each exception that a callback raises. One
+            bad packet or timer must not end the process: the packets of all
+            other flows would be lost until it has restarted.
         """
         self._on_fault = on_fault
         self._selector = selectors.DefaultSelector()
@@ -61,15 +61,15 @@
 
     @staticmethod
     def now() -> float:
-        """Return seconds of a steady clock that runs while suspended.
+        """Return seconds of a monotonic clock that includes suspended time.
 
-        The usual steady clock stands still while an instance is suspended: a
-        process would wake without noticing that its view is seconds old.
+        ``time.monotonic`` stops while an instance is suspended: after it
+        resumes, the process could not detect that its view is seconds old.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def on_signal(self, number: int, callback: Callback) -> None:
-        """Call back on the loop after a signal."""
+        """Call a function from the loop after a signal."""
         self._signals[number] = callback
         signal.set_wakeup_fd(self._wake_write_fd, warn_on_full_buffer=False)
         signal.signal(number, lambda *_: None)
@@ -87,9 +87,13 @@
         *,
         writable: bool = False,
     ) -> None:
-        """Call back when a socket can be read, or also written.
+        """Call back when a file object is readable, or also when writable.
 
-        A second call for the same socket replaces the first.
+        A second call for the same file object replaces the first.
+
+        :param fileobj: socket or other object with ``fileno``.
+        :param callback: called with the ready events of :mod:`selectors`.
+        :param writable: whether to call back also when it is writable.
         """
         events = selectors.EVENT_READ
         if writable:
@@ -100,23 +104,23 @@
         self._selector.register(fileobj, events, callback)
 
     def unwatch(self, fileobj: typing.Any) -> None:
-        """Stop calling back for a socket."""
+        """Stop watching a file object."""
         if fileobj.fileno() in self._selector.get_map():
             self._selector.unregister(fileobj)
 
     def after(self, seconds: float, callback: Callback) -> Timer:
-        """Call back once, some seconds from now."""
+        """Schedule one callback after a delay."""
         timer = Timer(callback)
         due = self.now() + seconds
         heapq.heappush(self._timers, (due, next(self._sequence), timer))
         return timer
 
     def stop(self) -> None:
-        """End :meth:`run` after the present callback."""
+        """Make :meth:`run` return after the ready callbacks and due timers."""
         self._running = False
 
     def run(self) -> None:
-        """Call back until stopped."""
+        """Process events until :meth:`stop` is called."""
         self._running = True
         while self._running:
             for key, events in self._selector.select(self._select_timeout()):
@@ -124,7 +128,7 @@
             self._fire_timers()
 
     def close(self) -> None:
-        """Free what the loop holds; the sockets belong to others."""
+        """Close the selector and the wake-up pipe, but no watched socket."""
         self._selector.close()
         os.close(self._wake_read_fd)
         os.close(self._wake_write_fd)
--- a/packages/teaseldock-edge/teaseldock_edge/settings.py
+++ b/packages/teaseldock-edge/teaseldock_edge/settings.py
@@ -1,4 +1,4 @@
-"""Declare every setting once, and read them from flags and environment."""
+"""Define all settings and read them from flags and environment."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 class Setting(typing.NamedTuple):
     """One setting of a program.
 
-    :ivar name: of the flag; the variable is ``TEASELDOCK_`` and this in
-        capitals with underscores.
-    :ivar default: text, or None if the setting must be given.
+    :ivar name: name of the flag without dashes in front. The variable is
+        ``TEASELDOCK_`` and the name in upper case with underscores.
+    :ivar default: default as text, or None if the setting is required.
     :ivar kind: ``name``, ``endpoint``, ``endpoints``, ``url``, ``keys``,
         ``number`` or ``level``.
     :ivar unit: unit or form of the value.
-    :ivar low: least number allowed.
-    :ivar high: largest number allowed.
-    :ivar scope: ``both``, ``balancer`` or ``agent``.
-    :ivar about: one line for help and reference.
+    :ivar low: lowest allowed number.
+    :ivar high: highest allowed number.
+    :ivar scope: programs that have it: ``both``, ``balancer`` or ``agent``.
+    :ivar about: description in one line, for help and reference.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
     @property
     def variable(self) -> str:
-        """Return the environment variable's name."""
+        """Return the name of the environment variable."""
         return ENVIRONMENT_PREFIX + self.name.replace('-', '_').upper()
 
 
@@ -98,7 +98,7 @@
         '',
         'endpoints',
         'host:port,...',
-        'Processes to greet at the start, should the platform be down.',
+        'Processes to contact at start, in case the platform is down.',
     ),
     _setting(
         'list-interval',
@@ -140,7 +140,7 @@
         'info',
         'level',
         'debug, info, warning or error',
-        'Least level that is logged.',
+        'Lowest level that is logged.',
     ),
 )
 LEVELS = ('debug', 'info', 'warning', 'error')
@@ -164,7 +164,7 @@
         raise ValueError('no key')
     for key in keys:
         if not _MIN_KEY_BYTES <= len(key) <= 64:
-            raise ValueError(f'a key has {len(key)} bytes, not 16..64')
+            raise ValueError(f'a key has {len(key)} bytes, must be 16..64')
     return keys
 
 
@@ -172,7 +172,7 @@
     match setting.kind:
         case 'name':
             if not _NAME.match(text):
-                raise ValueError('not lower-case letters, digits and dashes')
+                raise ValueError('allowed: lower-case letters, digits, dashes')
             return text
         case 'endpoint':
             return flow.parse_endpoint(text)
@@ -181,7 +181,7 @@
             return [flow.parse_endpoint(part) for part in parts]
         case 'url':
             if not text.startswith(('http://', 'https://')):
-                raise ValueError('no http or https URL')
+                raise ValueError('not an http or https URL')
             return text.rstrip('/')
         case 'keys':
             return _parse_keys(setting, text)
@@ -189,9 +189,9 @@
             return _parse_number(setting, text)
         case 'level':
             if text not in LEVELS:
-                raise ValueError('no level')
+                raise ValueError('not a log level')
             return text
-    raise ValueError(f'kind {setting.kind}')
+    raise ValueError(f'unknown kind of setting {setting.kind}')
 
 
 def read(
@@ -199,10 +199,15 @@
     flags: typing.Mapping[str, str | None],
     environment: typing.Mapping[str, str],
 ) -> dict[str, typing.Any]:
-    """Return checked values by setting name; flags go first.
+    """Return validated values by setting name.
 
+    A flag takes precedence over the environment, and that over the default.
+
+    :param scope: ``balancer`` or ``agent``.
     :param flags: as docopt returns them, with leading dashes.
-    :raises SettingError: naming the setting, the value and the remedy.
+    :param environment: environment variables by name.
+    :raises SettingError: if a value is missing or invalid; names the setting,
+        the value and the remedy.
     """
     values = {}
     for setting in for_program(scope):
@@ -222,7 +227,7 @@
             shown = '(hidden)' if setting.kind == 'keys' else repr(text)
             raise exceptions.SettingError(
                 place,
-                f'{shown} is not usable ({error})',
+                f'{shown} is invalid ({error})',
                 remedy=f'give {setting.unit}',
             ) from error
     return values
@@ -231,17 +236,17 @@
 def unknown_variable_warnings(
     scope: str, environment: typing.Mapping[str, str]
 ) -> list[str]:
-    """Return a warning for each variable that no setting reads."""
+    """Return a warning for each variable that is not a setting."""
     known = {item.variable for item in TABLE}
     return [
-        f'{name} is no setting; see teaseldock-{scope} --help'
+        f'{name} is not a setting; see teaseldock-{scope} --help'
         for name in sorted(environment)
         if name.startswith(ENVIRONMENT_PREFIX) and name not in known
     ]
 
 
 def options_text(scope: str) -> str:
-    """Return the options section of a program's help."""
+    """Return the options section of the help of a program."""
     lines = []
     for setting in for_program(scope):
         flag = f'  --{setting.name}=<value>'
--- a/packages/teaseldock-edge/teaseldock_edge/sockets.py
+++ b/packages/teaseldock-edge/teaseldock_edge/sockets.py
@@ -1,4 +1,4 @@
-"""Receive and send datagrams on the loop's thread."""
+"""UDP sockets on the tornado loop."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from teaseldock import exceptions
 from teaseldock import flow
 
-#: Largest datagram of UDP over IPv4.
+#: Largest UDP datagram over IPv4.
 MAX_DATAGRAM_BYTES = 65535
-#: Datagrams taken in one go before timers get their turn.
+#: Datagrams received in one callback before timers can run.
 BATCH = 128
-#: Bytes of the kernel's buffers, so that a burst isn't lost at once.
+#: Size of each kernel buffer, bytes; it absorbs bursts.
 BUFFER_BYTES = 4_000_000
 
 Handler = typing.Callable[[bytes, tuple[str, int]], None]
 
 
 class DatagramSocket:
-    """A UDP socket whose datagrams go to one handler."""
+    """UDP socket that passes received datagrams to a handler."""
 
     def __init__(
         self,
@@ -32,10 +32,12 @@
         place: str,
         on_refused: typing.Callable[[], None] | None = None,
     ) -> None:
-        """Prepare a socket; nothing is bound before :meth:`start`.
+        """Create a socket; :meth:`start` binds or connects it.
 
-        :param place: setting that names the address, for messages.
-        :param on_refused: called when a connected peer has no such port.
+        :param handler: called with each datagram and its source address.
+        :param place: name of the setting with the address, for errors.
+        :param on_refused: called when the connected peer refuses datagrams
+            (ICMP port unreachable).
         """
         self._handler = handler
         self._place = place
@@ -48,12 +50,12 @@
 
     @property
     def counters(self) -> collections.Counter[str]:
-        """Return counts of datagrams, bytes and errors."""
+        """Return counts of received datagrams and of errors by code."""
         return self._counters
 
     @property
     def raw(self) -> socket.socket:
-        """Return the socket itself."""
+        """Return the underlying socket."""
         return self._socket
 
     def start(
@@ -62,9 +64,9 @@
         bind: flow.Endpoint | None = None,
         connect: flow.Endpoint | None = None,
     ) -> None:
-        """Bind or connect, and begin to receive.
+        """Bind or connect, and start to receive.
 
-        :raises StartError: if the address can't be had.
+        :raises StartError: if the address can't be bound or connected.
         """
         try:
             if bind is not None:
@@ -75,14 +77,14 @@
             raise exceptions.StartError(
                 self._place,
                 f'{bind or connect}: {error.strerror}',
-                remedy='free the address or give another one',
+                remedy='free the address or choose another one',
             ) from error
         ioloop.IOLoop.current().add_handler(
             self._socket, self._on_readable, ioloop.IOLoop.READ
         )
 
     def close(self) -> None:
-        """Stop receiving and free the address."""
+        """Stop receiving and close the socket."""
         ioloop.IOLoop.current().remove_handler(self._socket)
         self._socket.close()
 
@@ -99,14 +101,14 @@
             self._handler(datagram, address)
 
     def send(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Send to an address; a full buffer drops, as the network would."""
+        """Send to an address; a full send buffer drops the datagram."""
         try:
             self._socket.sendto(datagram, address)
         except OSError as error:
             self._handle_error(error)
 
     def send_connected(self, datagram: bytes) -> None:
-        """Send to the connected peer."""
+        """Send to the connected peer; a full buffer drops the datagram."""
         try:
             self._socket.send(datagram)
         except OSError as error:
--- a/packages/teaseldock-edge/teaseldock_edge/traffic.py
+++ b/packages/teaseldock-edge/teaseldock_edge/traffic.py
@@ -1,4 +1,4 @@
-"""Count control traffic, in all and in the busiest second."""
+"""Count traffic between processes, and measure the rate of control."""
 
 from __future__ import annotations
 
@@ -6,17 +6,21 @@
 
 from teaseldock import messages
 
-#: Messages that carry a caller's request or answer; all others are control.
+#: Messages that carry the request or answer of a caller; all others are
+#: control traffic.
 DATA_MESSAGES = (messages.Execute, messages.Executed)
-#: Seconds over which a rate is taken; shorter bursts average out.
+#: Window of the rate, seconds; it averages shorter bursts.
 WINDOW_S = 5.0
 
 
 class Traffic:
-    """Sum bytes sent and received between processes."""
+    """Totals and rates of the traffic of one process with its peers."""
 
     def __init__(self, now: float) -> None:
-        """Start at zero."""
+        """Create counters at zero.
+
+        :param now: monotonic time, seconds.
+        """
         self._totals: collections.Counter[str] = collections.Counter()
         self._window_start = now
         self._window_bytes = 0
@@ -25,17 +29,17 @@
 
     @property
     def totals(self) -> collections.Counter[str]:
-        """Return bytes and messages by kind since the start."""
+        """Return bytes and messages since the start, by kind and direction."""
         return self._totals
 
     @property
     def highest_rate(self) -> float:
-        """Return the highest rate of control, bytes a second each way."""
+        """Return the highest rate of sent control bytes per second."""
         return self._highest_rate
 
     @property
     def rate(self) -> float:
-        """Return the rate of control in the last whole window."""
+        """Return sent control bytes per second in the last full window."""
         return self._rate
 
     def count(
