--- a/packages/teaseldock-agent/teaseldock_agent/__init__.py
+++ b/packages/teaseldock-agent/teaseldock_agent/__init__.py
@@ -1,3 +1,3 @@
-"""Run the teaseldock process beside a backend server."""
+"""Agent of the teaseldock load balancer, beside a backend server."""
 
 from __future__ import annotations
--- a/packages/teaseldock-agent/teaseldock_agent/application.py
+++ b/packages/teaseldock-agent/teaseldock_agent/application.py
@@ -1,4 +1,4 @@
-"""Carry packets, answers and time to the decisions of an agent."""
+"""Connect the agent of the library to callers, peers and servers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class AgentProgram(program.Program):
-    """The edge of an agent."""
+    """Agent program: sockets, timers and links to backend servers."""
 
     kind = 'agent'
 
     def __init__(self, values: dict[str, typing.Any]) -> None:
-        """Build all parts.
+        """Create all components; :meth:`start` opens the addresses.
 
-        :param values: checked settings, by name.
+        :param values: validated settings, by name.
         """
         self._codec = coap.CoapCodec()
         self._agent = agent.Agent(
@@ -41,7 +41,7 @@
         self._links: dict[str, server_link.ServerLink] = {}
 
     async def close(self) -> None:
-        """Close the addresses."""
+        """Close the links to servers and the addresses."""
         for link in self._links.values():
             link.close()
         await super().close()
@@ -49,14 +49,14 @@
     def on_packet(self, packet: proxy_header.Packet, now: float) -> None:
         """Handle a packet from a balancer or another agent."""
         if not self._node.ready:
-            # The view is not refreshed since start or pause; the caller's
-            # repeat finds it so.
+            # The view has not been refreshed since the start or a pause. The
+            # caller retransmits, and the view is current by then.
             self.count_drop('not_ready')
             return
         self.perform(self._agent.on_packet(packet, now))
 
     def perform_specific(self, action: messages.Action, now: float) -> None:
-        """Send to callers and to the server."""
+        """Send a datagram to a caller or to a server."""
         match action:
             case messages.ToCaller():
                 datagram = proxy_header.pack_plain(
@@ -78,7 +78,7 @@
         link.send(datagram, call=action.call)
 
     def on_tick(self, now: float) -> None:
-        """Open links to servers that the rules name, and probe them."""
+        """Open links to the servers in the rules, and probe the servers."""
         self._open_links(now)
         for service, link in self._links.items():
             link.tick(now, busy=self._agent.needs_server(service))
@@ -127,18 +127,18 @@
         self.perform(self._agent.server_lost(service, now))
 
     def may_stop(self, left_at: float, now: float) -> bool:
-        """Tell whether nothing would be cut."""
+        """Return whether a stop would interrupt no flow or request."""
         if now - left_at < agent.LINGER_S:
             return False
         return self._agent.drained(now)
 
     def status(self) -> dict[str, typing.Any]:
-        """Return figures for the status page and the metrics."""
+        """Return the contents of the status page and the metrics."""
         figures = super().status()
         figures.update(self._agent.status(time.monotonic()))
         return figures
 
 
 def _reverse_flow_key(flow_key: bytes) -> bytes:
-    """Return a flow key with caller and service changed over."""
+    """Return a flow key with caller and service swapped."""
     return flow_key[4:8] + flow_key[:4] + flow_key[10:12] + flow_key[8:10]
--- a/packages/teaseldock-agent/teaseldock_agent/command.py
+++ b/packages/teaseldock-agent/teaseldock_agent/command.py
@@ -1,4 +1,4 @@
-"""Start ``teaseldock-agent``."""
+"""Entry point of ``teaseldock-agent``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from teaseldock_agent import application
 from teaseldock_edge import command_line
 
-SUMMARY = 'Process of teaseldock in the slot beside a backend server.'
+SUMMARY = 'Agent of the teaseldock load balancer, beside a backend server.'
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/packages/teaseldock-agent/teaseldock_agent/server_link.py
+++ b/packages/teaseldock-agent/teaseldock_agent/server_link.py
@@ -10,15 +10,15 @@
 from teaseldock import server_probe
 from teaseldock_edge import sockets
 
-#: Sockets for one server. A server takes a message identifier that it has
-#: seen from one address within 247 s for a repeat; with 16 bits of them, one
-#: socket would do for 265 requests a second.
+#: Sockets for one server. A server treats a message identifier that it
+#: received from the same address within 247 s as a retransmission. Identifiers
+#: have 16 bits, so one socket allows only 265 requests per second.
 SOCKETS = 8
 _IDS_PER_SOCKET = 1 << 16
 
 
 class ServerLink:
-    """Carry requests to one server, and notice when it is gone."""
+    """Send requests to one server, and detect when it fails."""
 
     def __init__(
         self,
@@ -28,10 +28,14 @@
         on_lost: typing.Callable[[], None],
         now: float,
     ) -> None:
-        """Prepare; nothing is opened before :meth:`start`.
-
-        :param on_datagram: handles a datagram, returns what to send back.
-        :param on_lost: called when the server is gone.
+        """Create the sockets; :meth:`start` connects them.
+
+        :param endpoint: address of the server.
+        :param on_datagram: handles a datagram of the server and returns the
+            datagram to send back, empty for none.
+        :param on_lost: called when the server refuses datagrams or does not
+            answer probes.
+        :param now: monotonic time, seconds.
         """
         self._endpoint = endpoint
         self._on_datagram = on_datagram
@@ -53,11 +57,11 @@
 
     @property
     def endpoint(self) -> flow.Endpoint:
-        """Return the server's address."""
+        """Return the address of the server."""
         return self._endpoint
 
     def start(self) -> None:
-        """Open the sockets."""
+        """Connect the sockets to the server."""
         for sock in self._sockets:
             sock.start(connect=self._endpoint)
 
@@ -67,14 +71,14 @@
             sock.close()
 
     def send(self, datagram: bytes, *, call: int) -> None:
-        """Send a request; its call chooses the socket."""
+        """Send a request; the call number selects the socket."""
         index = (call // _IDS_PER_SOCKET) % SOCKETS
         self._sockets[index].send_connected(datagram)
 
     def tick(self, now: float, *, busy: bool) -> None:
-        """Probe a silent server with a CoAP ping (RFC 7252 section 4.3).
+        """Send a CoAP ping (RFC 7252 section 4.3) if the server is silent.
 
-        :param busy: whether anybody waits for this server.
+        :param busy: whether a request or feed waits for this server.
         """
         self._now = now
         step = self._probe.step(now, busy=busy)
--- a/packages/teaseldock-balancer/teaseldock_balancer/__init__.py
+++ b/packages/teaseldock-balancer/teaseldock_balancer/__init__.py
@@ -1,3 +1,3 @@
-"""Run the entry instance of the teaseldock load balancer."""
+"""Balancer of the teaseldock load balancer."""
 
 from __future__ import annotations
--- a/packages/teaseldock-balancer/teaseldock_balancer/application.py
+++ b/packages/teaseldock-balancer/teaseldock_balancer/application.py
@@ -1,4 +1,4 @@
-"""Pass packets from the fabric to the agents that own their buckets."""
+"""Forward packets from the fabric to the agents that own their buckets."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class BalancerProgram(program.Program):
-    """The edge of a balancer."""
+    """Balancer program: forwards packets from the fabric to agents."""
 
     kind = 'balancer'
 
     def __init__(self, values: dict[str, typing.Any]) -> None:
-        """Build all parts.
+        """Create all components; :meth:`start` opens the addresses.
 
-        :param values: checked settings, by name.
+        :param values: validated settings, by name.
         """
         self._balancer = balancer.Balancer(
             own=program.own_member(values, roster.ROLE_BALANCER),
@@ -41,7 +41,7 @@
         )
 
     async def start(self) -> None:
-        """Open the addresses and begin."""
+        """Open the addresses and start all tasks."""
         self._fabric_socket.start(bind=self._values['listen'])
         await super().start()
 
@@ -51,7 +51,7 @@
         await super().close()
 
     def on_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Pass one packet from the fabric on, or drop and count it."""
+        """Forward one packet from the fabric, or drop it."""
         try:
             flow_key, payload = proxy_header.read_plain(datagram)
         except exceptions.HeaderError as error:
@@ -74,21 +74,21 @@
         )
 
     def on_packet(self, packet: proxy_header.Packet, now: float) -> None:
-        """Drop packets between agents; none is meant for a balancer."""
+        """Count and drop a packet; only agents handle packets from peers."""
         self.count_drop('packet_for_agent')
 
     def may_stop(self, left_at: float, now: float) -> bool:
-        """Tell whether the fabric has turned away.
+        """Return whether the fabric has stopped sending packets.
 
-        The fabric learns of the leaving from a list that lags, or not at all
-        while the platform is down. Stopping after a fixed time would lose
-        what it still sends; a caller would notice a request without answer.
+        The fabric learns that this process leaves from a delayed list, or not
+        at all while the platform is down. A stop after a fixed time would lose
+        packets that the fabric still sends, and callers would get no answer.
         """
         quiet_since = max(left_at, self._last_packet_at)
         return now - quiet_since >= self._values['linger']
 
     def status(self) -> dict[str, typing.Any]:
-        """Return figures for the status page and the metrics."""
+        """Return the contents of the status page and the metrics."""
         figures = super().status()
         figures['packets_passed'] = self._passed['packets']
         figures['fabric_socket'] = dict(self._fabric_socket.counters)
--- a/packages/teaseldock-balancer/teaseldock_balancer/command.py
+++ b/packages/teaseldock-balancer/teaseldock_balancer/command.py
@@ -1,4 +1,4 @@
-"""Start ``teaseldock-balancer``."""
+"""Entry point of ``teaseldock-balancer``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from teaseldock_balancer import application
 from teaseldock_edge import command_line
 
-SUMMARY = 'Entry instance of the teaseldock layer-4 load balancer.'
+SUMMARY = 'Balancer of the teaseldock layer-4 load balancer.'
 
 
 def main(argv: list[str] | None = None) -> int:
