--- a/tests/edge/__init__.py
+++ b/tests/edge/__init__.py
@@ -1,3 +1,3 @@
-"""Test the plumbing of the packet programs."""
+"""Test the sockets, timers and logs of the programs."""
 
 from __future__ import annotations
--- a/tests/edge/test_documents_exchange.py
+++ b/tests/edge/test_documents_exchange.py
@@ -1,4 +1,4 @@
-"""Test that processes pass documents on, in few bytes."""
+"""Test that processes transfer documents compressed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _FakeConfiguration:
-    """Documents of a process that asks for all."""
+    """Configuration that holds nothing and returns fixed documents."""
 
     def __init__(self, documents: list[configuration.Document]) -> None:
         self._documents = documents
@@ -34,7 +34,7 @@
 
 
 def _documents() -> list[configuration.Document]:
-    """Return register and rules of a deployment."""
+    """Return the register and the rules of a deployment as documents."""
     register, rules = shapes.documents(shapes.SHAPES['zilina'])
     return [
         configuration.Document('register', 1, 'op', json.dumps(part).encode())
@@ -47,7 +47,7 @@
     offered: list[configuration.Document],
     counted: list[tuple[str, int]],
 ) -> documents_exchange.DocumentsExchange:
-    """Return an exchange whose counts and offers are kept."""
+    """Return an exchange that records offered documents and counts."""
 
     def count(direction: str, message: object, size: int) -> None:
         counted.append((direction, size))
@@ -66,7 +66,10 @@
     sent: list[tuple[str, int]],
     received: list[tuple[str, int]],
 ) -> bytes:
-    """Fetch by the product, then as a client that reads no coding."""
+    """Fetch with an exchange, then with a client without compression.
+
+    :returns: body of the uncompressed response.
+    """
     source = _exchange(_documents(), [], sent)
     requester = _exchange([], offered, received)
     source.start(flow.Endpoint('127.0.0.1', 0))
@@ -85,7 +88,7 @@
 
 
 def test_documents_go_to_peers_compressed() -> None:
-    """Guards against a process over its control bytes by whole documents."""
+    """Uncompressed documents exceed the control byte limit of a process."""
     offered: list[configuration.Document] = []
     sent: list[tuple[str, int]] = []
     received: list[tuple[str, int]] = []
@@ -94,5 +97,5 @@
     whole = sum(len(item.content) for item in _documents())
     assert 0 < sent[0][1] < whole / 3
     assert received[1] == ('received', sent[0][1])
-    # A process that reads no coding gets them as they are.
+    # A client that accepts no content coding gets them uncompressed.
     assert len(wire.unpack(plain, keys=KEYS).documents) == 2
--- a/tests/edge/test_http_exchange.py
+++ b/tests/edge/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""Test the HTTP client and page server against each other and bad peers."""
+"""Test the HTTP client and page server together and with bad peers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,13 @@
 
 
 class RequestRecorder:
-    """What the callbacks of requests were told."""
+    """Runs requests and records the arguments of their callbacks."""
 
     def __init__(self, loop: reactor.Reactor) -> None:
-        """Start with nothing."""
+        """Create a recorder without results.
+
+        :param loop: loop that runs the requests.
+        """
         self.loop = loop
         self.answers: list[tuple[int, bytes]] = []
         self.headers: dict[str, str] = {}
@@ -27,7 +30,7 @@
     def get(
         self, client: http_exchange.Client, path: str, *, timeout_s: float
     ) -> None:
-        """Ask, and run until the request has ended."""
+        """Send a request and run the loop until it has ended."""
         client.get(
             path,
             timeout_s=timeout_s,
@@ -48,7 +51,7 @@
 
 @pytest.fixture
 def recorder() -> typing.Iterator[RequestRecorder]:
-    """Return a loop whose faults fail the test."""
+    """Return a recorder; an exception in its loop fails the test."""
     faults: list[Exception] = []
     loop = reactor.Reactor(faults.append)
     yield RequestRecorder(loop)
@@ -57,13 +60,13 @@
 
 
 def listening_socket() -> tuple[socket.socket, flow.Endpoint]:
-    """Return a socket that listens on a free port."""
+    """Return a socket that listens on a free port, and its address."""
     listener = socket.create_server((HOST, 0))
     return listener, flow.Endpoint(HOST, listener.getsockname()[1])
 
 
 def free_endpoint() -> flow.Endpoint:
-    """Return an address where nobody listens."""
+    """Return an address on which no socket listens."""
     listener, endpoint = listening_socket()
     listener.close()
     return endpoint
@@ -88,11 +91,11 @@
 
 
 def test_a_silent_server_ends_a_request(recorder: RequestRecorder) -> None:
-    """A reader waits for ever on a connection that fell silent.
+    """A request to a server that never answers ends after its timeout.
 
-    Symptom: changes of the store are not seen any more, without an error.
-    Events: a connection is accepted, and nothing comes over it.
-    Cause: only a reset or an answer ended the request.
+    Without the timeout only a reset or an answer ends a request: if a server
+    accepts the connection and sends nothing, the reader waits forever and
+    misses changes of the store without an error.
     """
     listener, endpoint = listening_socket()
     client = http_exchange.Client(recorder.loop, endpoint)
@@ -104,12 +107,12 @@
 def test_an_answer_that_keeps_coming_is_waited_for(
     recorder: RequestRecorder,
 ) -> None:
-    """A read over a slim link begins anew for ever.
+    """The timeout is extended while parts of the answer arrive.
 
-    Symptom: after a loss of power nothing is served for three seconds;
-    balancers say "no answer within 1.5 s".
-    Events: the answer has 300 KB and comes over 2 Mbit/s.
-    Cause: the time limit counted from the question, however much had come.
+    With a fixed time limit from the start of the request, an answer of 300 KB
+    over 2 Mbit/s times out and is requested again, without end: after a power
+    failure nothing is served for three seconds, and balancers log "no answer
+    within 1.5 s".
     """
     listener, endpoint = listening_socket()
     client = http_exchange.Client(recorder.loop, endpoint)
@@ -137,7 +140,7 @@
 
 
 def test_an_answer_that_stalls_is_given_up(recorder: RequestRecorder) -> None:
-    """A connection that falls silent in the middle ends the request."""
+    """A request fails if the server stops in the middle of the answer."""
     listener, endpoint = listening_socket()
     client = http_exchange.Client(recorder.loop, endpoint)
     peers: list[socket.socket] = []
@@ -155,7 +158,7 @@
 
 
 def test_a_closed_port_fails_at_once(recorder: RequestRecorder) -> None:
-    """A refused connection is a failure, and the next request tries anew."""
+    """A refused connection is a failure; the next request connects again."""
     client = http_exchange.Client(recorder.loop, free_endpoint())
     recorder.get(client, '/', timeout_s=2)
     recorder.get(client, '/', timeout_s=2)
@@ -173,7 +176,7 @@
 def test_a_bad_reply_is_a_failure(
     recorder: RequestRecorder, reply: bytes
 ) -> None:
-    """A cut or unreadable answer is none."""
+    """A truncated or malformed response is a failure."""
     listener, endpoint = listening_socket()
     accepted: list[socket.socket] = []
 
@@ -193,7 +196,7 @@
 
 
 def test_a_server_outlives_bad_requests(recorder: RequestRecorder) -> None:
-    """Nonsense from one caller leaves the pages to others."""
+    """Malformed requests of one client do not affect other clients."""
     endpoint = free_endpoint()
     pages = {'/a': lambda: http_exchange.Page(200, 'text/plain', 'fine')}
     server = http_exchange.PageServer(recorder.loop, pages)
--- a/tests/edge/test_line_log.py
+++ b/tests/edge/test_line_log.py
@@ -1,4 +1,4 @@
-"""Test that log lines are bounded and never block."""
+"""Test that logging is limited in rate and never blocks."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Clock:
-    """Steady seconds that a test sets."""
+    """Monotonic clock that a test sets."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Set the time to zero."""
         self.now = 0.0
 
     def __call__(self) -> float:
-        """Return the time."""
+        """Return the time in seconds."""
         return self.now
 
 
 def read_lines(read_fd: int) -> list[dict]:
-    """Return all lines written so far."""
+    """Return all lines that can be read from a pipe."""
     os.set_blocking(read_fd, False)
     content = b''
     while True:
@@ -36,7 +36,7 @@
 
 
 def test_a_line_holds_its_inputs() -> None:
-    """Event, process, both clocks and fields stand in one JSON object."""
+    """A line is a JSON object with event, process, both clocks and fields."""
     read_fd, write_fd = os.pipe()
     log = line_log.LineLog(write_fd, now=Clock())
     log.name_process('front-1')
@@ -48,11 +48,10 @@
 
 
 def test_a_burst_is_cut_and_counted() -> None:
-    """Logging takes the processor while callers wait.
+    """Lines above the rate limit are dropped and counted.
 
-    Symptom: latency rises with the number of refusals.
-    Events: thousands of decisions in one second.
-    Cause: each wrote a line.
+    Without a limit, thousands of refusals in one second each write a line:
+    logging uses the CPU, and the latency of callers rises.
     """
     read_fd, write_fd = os.pipe()
     clock = Clock()
@@ -68,11 +67,10 @@
 
 
 def test_an_output_that_nobody_reads_does_not_block() -> None:
-    """The process stands still because its log is not read.
+    """A full output pipe does not block the process.
 
-    Symptom: no packet is served while the log's reader is stopped.
-    Events: the pipe is full.
-    Cause: the write waited.
+    With a blocking write the process serves no packets while the reader of
+    its log is stopped.
     """
     read_fd, write_fd = os.pipe()
     clock = Clock()
@@ -90,7 +88,7 @@
 
 
 def test_a_closed_output_is_no_fault() -> None:
-    """Serving goes on after the log's reader has gone."""
+    """A closed output raises no exception; the line counts as dropped."""
     read_fd, write_fd = os.pipe()
     log = line_log.LineLog(write_fd, now=Clock())
     os.close(read_fd)
--- a/tests/edge/test_reactor.py
+++ b/tests/edge/test_reactor.py
@@ -1,4 +1,4 @@
-"""Test the loop of the packet programs."""
+"""Test the event loop of the packet programs."""
 
 from __future__ import annotations
 
@@ -9,11 +9,9 @@
 
 
 def test_a_fault_ends_one_callback_only() -> None:
-    """One bad packet stops the process.
+    """An exception in a callback does not end the loop.
 
-    Symptom: all flows of a process stall after one fault.
-    Events: a callback raises.
-    Cause: the exception left the loop.
+    Otherwise one bad packet ends the process, and all its flows stall.
     """
     faults: list[Exception] = []
     loop = reactor.Reactor(faults.append)
@@ -32,7 +30,7 @@
 
 
 def test_timers_fire_in_order_and_can_be_cancelled() -> None:
-    """A cancelled timer does nothing."""
+    """Timers fire by due time; a cancelled timer does not fire."""
     loop = reactor.Reactor(lambda error: None)
     calls: list[int] = []
     loop.after(0.004, lambda: calls.append(2))
@@ -45,7 +43,7 @@
 
 
 def test_signals_are_handled_on_the_loop() -> None:
-    """A signal calls back, and a second one again."""
+    """Each of two signals calls back once."""
     loop = reactor.Reactor(lambda error: None)
     seen: list[int] = []
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,8 +21,8 @@
 from teaseldock import flow
 from teaseldock import proxy_header
 
-#: Seed of the network's faults, the servers' times and the callers' pauses.
-#: What the machine's scheduler adds is not seeded.
+#: Seed of network faults, service times and pauses of callers. The scheduling
+#: of the processes by the operating system is not seeded.
 SEED = int(os.environ.get('PROCESSES_SEED', '1'))
 NETWORK = 41
 PORTS = deployment.Ports(5520, 5521, 5522)
@@ -30,7 +30,7 @@
 
 
 def small_inventory() -> tuple[dict, dict]:
-    """Return four dispatch targets and two ticket targets."""
+    """Return register and rules of four dispatch and two ticket targets."""
     instances = []
     services = []
     for index, (name, count) in enumerate((('dispatch', 4), ('tickets', 2))):
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def dep(tmp_path: pathlib.Path) -> typing.Iterator[deployment.Deployment]:
-    """Return a running deployment that is stopped afterwards."""
+    """Start a deployment, and stop it after the test."""
     register, rules = small_inventory()
     built = deployment.Deployment(
         register,
@@ -85,7 +85,11 @@
 
 
 def start_callers(dep: deployment.Deployment, seconds: float) -> list[str]:
-    """Start orders, feeds and scans."""
+    """Start callers that send orders, feeds and scans.
+
+    :param seconds: time for which callers send requests.
+    :returns: process names of the callers.
+    """
     started = []
     for service, kind, callers, pause_s in (
         ('dispatch', 'orders', 10, 0.1),
@@ -118,14 +122,14 @@
 def wait_and_judge(
     dep: deployment.Deployment, callers: list[str]
 ) -> dict[str, typing.Any]:
-    """Wait for the callers' last answers and judge."""
+    """Wait until the callers have ended, and return the verdict."""
     for name in callers:
         dep.processes[name].wait(timeout=60)
     return judge.judge(dep.folder, dep.rules)
 
 
 def assert_no_violations(verdict: dict[str, typing.Any]) -> None:
-    """Assert what must hold in every history."""
+    """Check the invariants that hold in every history."""
     assert verdict['requests'] > 50
     broken = {
         invariant: verdict[invariant]
@@ -137,7 +141,7 @@
 
 
 def test_planned_changes_cut_nothing(dep: deployment.Deployment) -> None:
-    """Drain, SIGTERM of agent and balancer, outage: no flow is broken."""
+    """Drain, SIGTERM of agent and balancer, and outage break no flow."""
     callers = start_callers(dep, 9.0)
     time.sleep(1.0)
     dep.rules['leaving'] = ['dispatch-1']
@@ -162,11 +166,11 @@
 def test_kills_and_pauses_under_a_bad_network(
     dep: deployment.Deployment,
 ) -> None:
-    """Kills and pauses, packets lost, doubled and late: never a second run.
+    """No request runs twice despite kills, pauses and packet faults.
 
-    Symptom guarded against: a doubled pour order. Sequence: orders are under
-    way while their holder is killed, another holder is frozen and wakes, and
-    the fabric doubles and reorders packets.
+    Guards against a pour order that is executed twice: while orders are in
+    progress, their holder is killed, another holder is suspended and resumed,
+    and the fabric drops, duplicates, reorders and delays packets.
     """
     dep.set_faults(drop=0.02, duplicate=0.2, reorder=0.2, late_s=1.0)
     callers = start_callers(dep, 12.0)
@@ -189,11 +193,12 @@
 
 
 def test_a_frozen_server_is_left_alone(dep: deployment.Deployment) -> None:
-    """A server that stops answering, though its health page says well.
+    """A suspended server gets no new requests, and none runs twice.
 
-    Symptom guarded against: requests queue behind a dead server, or run twice
-    when it wakes. Sequence: the server freezes with requests in its socket,
-    callers are told "outcome unknown", then it wakes and runs them.
+    Guards against requests that queue for a server which does not answer
+    although its health page reports no problem, or that run twice when it
+    resumes. The server is suspended with requests in its socket buffer,
+    callers get "outcome unknown", then it resumes and runs the requests.
     """
     callers = start_callers(dep, 10.0)
     time.sleep(1.5)
@@ -212,7 +217,7 @@
 def test_bad_packets_are_counted_and_unanswered(
     dep: deployment.Deployment,
 ) -> None:
-    """Garbage at every port is dropped by kind, without a byte in return."""
+    """Invalid datagrams are dropped, counted by reason and not answered."""
     balancer = (dep.balancer_address('balancer-1'), 5600)
     agent = (dep.register['instances'][0]['address'], 5700)
     key = flow.flow_key(
@@ -246,7 +251,7 @@
 
 
 def test_command_line(dep: deployment.Deployment) -> None:
-    """Status, audit, explain and check answer; mistakes have exit codes."""
+    """All commands work, and each kind of error has its exit code."""
     address = dep.register['instances'][0]['address']
     admin = f'--admin={address}:{deployment.ADMIN_PORT}'
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""Test that one fault doesn't end what must go on."""
+"""Test that one exception does not end a periodic task."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def test_a_failing_tick_is_not_the_last() -> None:
-    """Ticks go on after one of them has failed.
+    """Ticks continue after one of them has raised an exception.
 
-    Symptom guarded against: a process that answers callers and is taken for
-    dead by its peers. Sequence: a fault in one tick ends the task that ticks.
+    If the exception ends the task, the process sends no heartbeats: its peers
+    declare it dead while it still answers callers.
     """
 
     async def run() -> tuple[int, int]:
@@ -38,7 +38,7 @@
 
 
 def test_reading_goes_on_after_a_fault() -> None:
-    """The platform is read again after an answer that could not be taken."""
+    """The platform is read again after an exception in a read."""
 
     async def run() -> int:
         program = application.BalancerProgram(path._values())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Test that settings are checked once, each with its remedy."""
+"""Test the validation of settings and its error messages."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def test_mistakes_name_setting_value_and_remedy(
     flag: str, text: str, words: str
 ) -> None:
-    """Each mistake ends in one line that names the flag."""
+    """An invalid value gives an error of one line that names the flag."""
     with pytest.raises(exceptions.SettingError) as caught:
         settings.read('agent', {**GOOD, flag: text}, {})
     assert flag in str(caught.value)
@@ -45,14 +45,14 @@
 
 
 def test_missing_setting_names_flag_and_variable() -> None:
-    """A setting without value names both ways of giving it."""
+    """The error for a missing setting names its environment variable."""
     flags = {key: value for key, value in GOOD.items() if key != '--peer'}
     with pytest.raises(exceptions.SettingError, match='TEASELDOCK_PEER'):
         settings.read('agent', flags, {})
 
 
 def test_flags_go_before_the_environment() -> None:
-    """A flag wins over a variable, a variable over the default."""
+    """A flag overrides a variable, and a variable overrides the default."""
     environment = {
         'TEASELDOCK_NAME': 'from-environment',
         'TEASELDOCK_STOP_LIMIT': '7',
@@ -63,7 +63,7 @@
 
 
 def test_unknown_variable_is_warned_of() -> None:
-    """A misspelt variable doesn't pass in silence."""
+    """A misspelt variable gives a warning."""
     (warning,) = settings.unknown_variable_warnings(
         'agent', {'TEASELDOCK_NAEM': 'x'}
     )
