--- a/packages/teaseldock-edge/teaseldock_edge/command_line.py
+++ b/packages/teaseldock-edge/teaseldock_edge/command_line.py
@@ -1,4 +1,4 @@
-"""Read the command line that balancer and agent share."""
+"""Parse and run the commands that balancer and agent share."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 Commands:
   run      Serve until SIGTERM, then stop gracefully.
-  check    Check register and rules as a whole, without starting.
-  explain  Tell which target a flow would get and why, at which revision;
-           from the documents given, or from the running program.
-  status   Print the running program's figures.
-  audit    Print the running program's trail of changes.
+  check    Check register and rules together, without starting.
+  explain  Show which target a flow would get, why, and at which revision;
+           from the given documents, or from the running program.
+  status   Print the status of the running program.
+  audit    Print the audit trail of the running program.
 
 A document is a file named KEY.json, KEY being register, rules, or a part such
 as rules.payroll. Caller and service are host:port.
@@ -50,9 +50,9 @@
   -h, --help                  Show this text.
   --version                   Show the version.
 
-Exit codes: 0 done, 1 failed, 2 wrong command line, 3 setting, 4 document,
-5 documents that do not fit together, 6 revision, 7 address taken, 8 admin
-address silent.
+Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid setting,
+4 invalid document, 5 inconsistent documents, 6 revision, 7 address in use,
+8 no answer from the admin address.
 """
 _USAGE_EXIT_CODE = 2
 
@@ -66,7 +66,7 @@
             content = pathlib.Path(path).read_bytes()
         except OSError as error:
             raise exceptions.DocumentError(
-                path, str(error.strerror), remedy='name a readable file'
+                path, str(error.strerror), remedy='give a readable file'
             ) from error
         key = pathlib.Path(path).stem
         documents.append(configuration.Document(key, 1, 'file', content))
@@ -82,7 +82,7 @@
     )
 
 
-def _explain_files(
+def _explain_documents(
     arguments: dict[str, typing.Any], hash_key: bytes
 ) -> dict[str, typing.Any]:
     contents = configuration.check_documents(
@@ -122,16 +122,16 @@
         return flow.parse_endpoint(text)
     except ValueError as error:
         raise exceptions.SettingError(
-            place, f'{text!r} is not usable ({error})', remedy='give host:port'
+            place, f'{text!r} is invalid ({error})', remedy='give host:port'
         ) from error
 
 
-def _one_setting(
+def _read_setting(
     scope: str, name: str, arguments: dict[str, typing.Any]
 ) -> typing.Any:
-    """Read one setting alone; commands need few of them."""
+    """Read one setting; placeholders stand for other required settings."""
     given = {f'--{name}': arguments.get(f'--{name}')}
-    filler = {
+    placeholders = {
         'name': 'x',
         'endpoint': '127.0.0.1:1',
         'url': 'http://x',
@@ -139,11 +139,11 @@
     }
     for setting in settings.for_program(scope):
         if setting.name != name and setting.default is None:
-            given[f'--{setting.name}'] = filler[setting.kind]
+            given[f'--{setting.name}'] = placeholders[setting.kind]
     return settings.read(scope, given, os.environ)[name]
 
 
-def _ask_admin(endpoint: flow.Endpoint, path: str) -> typing.Any:
+def _get_admin_page(endpoint: flow.Endpoint, path: str) -> typing.Any:
     url = f'http://{endpoint.host}:{endpoint.port}{path}'
     try:
         with urllib.request.urlopen(url, timeout=5) as answer:
@@ -152,14 +152,14 @@
         raise exceptions.AdminError(
             f'--admin {endpoint.host}:{endpoint.port}',
             str(error),
-            remedy='check that the program runs and the address is its own',
+            remedy='check that the program runs and uses this admin address',
         ) from error
 
 
 def _explain(scope: str, arguments: dict[str, typing.Any]) -> None:
     if arguments['<document>']:
-        hash_key = _one_setting(scope, 'hash-key', arguments)[0]
-        answer = _explain_files(arguments, hash_key)
+        hash_key = _read_setting(scope, 'hash-key', arguments)[0]
+        answer = _explain_documents(arguments, hash_key)
     else:
         query = urllib.parse.urlencode(
             {
@@ -167,15 +167,15 @@
                 'service': arguments['<service>'],
             }
         )
-        endpoint = _one_setting(scope, 'admin', arguments)
-        answer = _ask_admin(endpoint, f'/explain?{query}')
+        endpoint = _read_setting(scope, 'admin', arguments)
+        answer = _get_admin_page(endpoint, f'/explain?{query}')
     print(json.dumps(answer, indent=1))
 
 
 def _run(scope: str, arguments: dict[str, typing.Any], build: Build) -> None:
     values = settings.read(scope, arguments, os.environ)
     handler = logs.start(values['log-level'])
-    for warning in settings.warn_unknown(scope, os.environ):
+    for warning in settings.unknown_variable_warnings(scope, os.environ):
         program.LOG.warning(warning)
     try:
         asyncio.run(_build_and_run(values, build))
@@ -194,7 +194,9 @@
 
     :param scope: ``balancer`` or ``agent``.
     :param summary: first line of the help.
-    :param build: makes the program from checked settings.
+    :param build: creates the program from validated settings.
+    :param argv: arguments without the program name; default ``sys.argv``.
+    :returns: the exit code; the help text lists the codes.
     """
     text = _USAGE.format(
         name=f'teaseldock-{scope}',
@@ -215,8 +217,8 @@
             _explain(scope, arguments)
         else:
             page = '/status' if arguments['status'] else '/audit'
-            endpoint = _one_setting(scope, 'admin', arguments)
-            print(json.dumps(_ask_admin(endpoint, page), indent=1))
+            endpoint = _read_setting(scope, 'admin', arguments)
+            print(json.dumps(_get_admin_page(endpoint, page), indent=1))
     except exceptions.TeaseldockError as error:
         print(error, file=sys.stderr)
         return error.exit_code
--- a/tests/edge/test_documents_exchange.py
+++ b/tests/edge/test_documents_exchange.py
@@ -1,4 +1,4 @@
-"""Test that processes pass documents on, in few bytes."""
+"""Test that processes transfer documents compressed."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 KEYS = (b'k' * 16,)
 
 
-class _Held:
-    """Documents of a process that asks for all."""
+class _FakeConfiguration:
+    """Configuration that holds nothing and returns fixed documents."""
 
     def __init__(self, documents: list[configuration.Document]) -> None:
         self._documents = documents
@@ -34,7 +34,7 @@
 
 
 def _documents() -> list[configuration.Document]:
-    """Return register and rules of a deployment."""
+    """Return the register and the rules of a deployment as documents."""
     register, rules = shapes.documents(shapes.SHAPES['zilina'])
     return [
         configuration.Document('register', 1, 'op', json.dumps(part).encode())
@@ -47,52 +47,55 @@
     offered: list[configuration.Document],
     counted: list[tuple[str, int]],
 ) -> documents_exchange.DocumentsExchange:
-    """Return an exchange whose counts and offers are kept."""
+    """Return an exchange that records offered documents and counts."""
 
     def count(direction: str, message: object, size: int) -> None:
         counted.append((direction, size))
 
-    decisions = types.SimpleNamespace(config=_Held(documents))
+    local_node = types.SimpleNamespace(config=_FakeConfiguration(documents))
     return documents_exchange.DocumentsExchange(
-        typing.cast(typing.Any, decisions),
+        typing.cast(typing.Any, local_node),
         keys=KEYS,
         offer=offered.extend,
         count=count,
     )
 
 
-async def _pass_on(
+async def _fetch_compressed_and_plain(
     offered: list[configuration.Document],
     sent: list[tuple[str, int]],
     received: list[tuple[str, int]],
 ) -> bytes:
-    """Fetch by the product, then as a client that reads no coding."""
+    """Fetch with an exchange, then with a client without compression.
+
+    :returns: body of the uncompressed response.
+    """
     source = _exchange(_documents(), [], sent)
-    asker = _exchange([], offered, received)
+    requester = _exchange([], offered, received)
     source.start(flow.Endpoint('127.0.0.1', 0))
     (listener,) = source._server._sockets.values()
     port = listener.getsockname()[1]
-    await asker.fetch('127.0.0.1', port)
+    await requester.fetch('127.0.0.1', port)
     plain = await httpclient.AsyncHTTPClient(force_instance=True).fetch(
         f'http://127.0.0.1:{port}/documents',
         method='POST',
-        body=asker._pack([]),
+        body=requester._pack([]),
         decompress_response=False,
     )
-    asker.close()
+    requester.close()
     source.close()
     return plain.body
 
 
 def test_documents_go_to_peers_compressed() -> None:
-    """Guards against a process over its control bytes by whole documents."""
+    """Uncompressed documents exceed the control byte limit of a process."""
     offered: list[configuration.Document] = []
     sent: list[tuple[str, int]] = []
     received: list[tuple[str, int]] = []
-    plain = asyncio.run(_pass_on(offered, sent, received))
+    plain = asyncio.run(_fetch_compressed_and_plain(offered, sent, received))
     assert offered == _documents()
     whole = sum(len(item.content) for item in _documents())
     assert 0 < sent[0][1] < whole / 3
     assert received[1] == ('received', sent[0][1])
-    # A process that reads no coding gets them as they are.
+    # A client that accepts no content coding gets them uncompressed.
     assert len(wire.unpack(plain, keys=KEYS).documents) == 2
