--- a/deploy/build.py
+++ b/deploy/build.py
@@ -51,21 +51,21 @@
             if path.is_file() and '__pycache__' not in path.parts
         }
         for path in wanted:
-            copy_changed(source / path, DEPS / name / path)
+            copy_if_changed(source / path, DEPS / name / path)
         for path in (DEPS / name).rglob('*.py'):
             if path.relative_to(DEPS / name) not in wanted:
                 path.unlink()
 
 
-def copy_changed(source: pathlib.Path, copy: pathlib.Path) -> None:
+def copy_if_changed(source: pathlib.Path, copy: pathlib.Path) -> None:
     """Copy one file if its content differs."""
     content = source.read_bytes()
     if copy.exists() and copy.read_bytes() == content:
         return
     copy.parent.mkdir(parents=True, exist_ok=True)
-    fresh = copy.with_suffix('.new')
-    fresh.write_bytes(content)
-    fresh.replace(copy)
+    temporary = copy.with_suffix('.new')
+    temporary.write_bytes(content)
+    temporary.replace(copy)
 
 
 def main() -> None:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -147,7 +147,7 @@
             proxy.mode = 'refuse'
             proxy.cut()
         await asyncio.sleep(self._random.uniform(0.2, 2.0))
-        self._world.store.come_back(copy)
+        self._world.store.restore(copy)
         for proxy in self._world.proxies:
             proxy.mode = 'pass'
         await asyncio.sleep(self._random.uniform(0.0, 0.5))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -74,7 +74,7 @@
 
 def changes(items: list[documents.Item], bad: list) -> records.Changes:
     """Return items as changes."""
-    return documents.to_changes(items, since=3, upto=9, on_bad=bad.append)
+    return documents.to_changes(items, since=3, upto=9, on_invalid=bad.append)
 
 
 def test_entries_become_records() -> None:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -14,7 +14,7 @@
 from teaseldock_platform import store
 
 
-class _Owner:
+class _Receiver:
     """Keep what the client hands over."""
 
     def __init__(self) -> None:
@@ -53,12 +53,14 @@
 
 
 @pytest.fixture
-def calls() -> tuple[store.StoreClient, _Client, _Owner]:
-    """Return a client of the store, its connection and its owner."""
-    owner, connection = _Owner(), _Client()
-    client = store.StoreClient(_Loop(), flow.Endpoint('127.0.0.1', 1), owner)
+def calls() -> tuple[store.StoreClient, _Client, _Receiver]:
+    """Return a client of the store, its connection and its receiver."""
+    receiver, connection = _Receiver(), _Client()
+    client = store.StoreClient(
+        _Loop(), flow.Endpoint('127.0.0.1', 1), receiver
+    )
     client._client = connection
-    return client, connection, owner
+    return client, connection, receiver
 
 
 def answer(
@@ -77,45 +79,45 @@
 
 def test_a_read_of_all_is_of_the_era_that_the_store_tells(calls) -> None:
     """Guards against a copy's revisions being compared with older ones."""
-    client, connection, owner = calls
+    client, connection, receiver = calls
     connection.answers = [answer(page(7), era='2')]
     client.read_all()
-    assert owner.answers[0].upto == positions.make(2, 7)
+    assert receiver.answers[0].upto == positions.make(2, 7)
 
 
 @pytest.mark.parametrize('era', [None, 'x', '-1', '²', ''])
 def test_a_store_that_tells_no_era_has_one_history(calls, era) -> None:
     """Guards against a header that can't be read ending the reading."""
-    client, connection, owner = calls
+    client, connection, receiver = calls
     connection.answers = [answer(page(7), era=era)]
     client.read_all()
-    assert owner.answers[0].upto == 7
+    assert receiver.answers[0].upto == 7
 
 
 def test_a_watch_asks_for_the_plain_revision(calls) -> None:
     """Guards against a position that the store takes for a revision."""
-    client, connection, owner = calls
+    client, connection, receiver = calls
     connection.answers = [answer({'events': [], 'currentRev': 9}, era='3')]
     client.watch(positions.make(3, 8))
     assert '&after=8&' in connection.paths[0]
-    assert owner.answers[0].since == positions.make(3, 8)
-    assert owner.answers[0].upto == positions.make(3, 9)
+    assert receiver.answers[0].since == positions.make(3, 8)
+    assert receiver.answers[0].upto == positions.make(3, 9)
 
 
 def test_a_watch_answered_from_another_history_is_a_lost_one(calls) -> None:
     """Guards against a return that the revision's growth hides."""
-    client, connection, owner = calls
+    client, connection, receiver = calls
     connection.answers = [answer({'events': [], 'currentRev': 50}, era='1')]
     client.watch(8)
-    assert owner.lost == 1
-    assert owner.answers == []
+    assert receiver.lost == 1
+    assert receiver.answers == []
 
 
 def test_pages_of_two_histories_are_not_put_together(calls) -> None:
     """Guards against entries of before and after a return in one read."""
-    client, connection, owner = calls
+    client, connection, receiver = calls
     first = page(9, key='servers/a', truncated=True)
     connection.answers = [answer(first, era='0'), answer(page(7), era='1')]
     client.read_all()
-    assert owner.lost == 1
-    assert owner.answers == []
+    assert receiver.lost == 1
+    assert receiver.answers == []
