--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,4 +1,4 @@
-"""Place what the platform's roles import under target/deps."""
+"""Install everything that the roles import under target/deps."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DEPS = ROOT / 'target' / 'deps'
 REQUIREMENTS = ROOT / 'deploy' / 'requirements.txt'
-#: Copy of the requirements that DEPS holds; another text installs anew.
+#: Copy of the requirements installed in DEPS. If it differs from REQUIREMENTS,
+#: all libraries are reinstalled.
 INSTALLED = DEPS / 'requirements.txt'
 PACKAGES = {
     'teaseldock': ROOT / 'packages/teaseldock/teaseldock',
     'teaseldock_edge': ROOT / 'packages/teaseldock-edge/teaseldock_edge',
     'teaseldock_platform': ROOT / 'platform/teaseldock_platform',
 }
-#: The roles run with -OO, which reads only files compiled so. The repository
-#: can't be written there: without these files each start compiles anew.
+#: Optimization level of the compiled files. The roles run with -OO, which only
+#: loads files compiled at this level. The repository is read-only where they
+#: run, so that without these files each start would compile every module.
 OPTIMIZE = 2
 
 
 def install_libraries() -> None:
-    """Install the libraries unless they are there already."""
+    """Install the libraries unless DEPS already contains them."""
     wanted = REQUIREMENTS.read_text()
     if INSTALLED.exists() and INSTALLED.read_text() == wanted:
         return
@@ -39,10 +41,10 @@
 
 
 def copy_packages() -> None:
-    """Copy the project's own packages as they are now.
+    """Copy the project's own packages and delete modules that are gone.
 
-    Files that are the same stay untouched: a build beside a fleet that runs
-    from this folder must not take a module away just as a process starts.
+    Unchanged files are not touched: processes may start from this folder
+    during a build, and must find every module.
     """
     for name, source in PACKAGES.items():
         wanted = {
@@ -58,7 +60,7 @@
 
 
 def copy_if_changed(source: pathlib.Path, copy: pathlib.Path) -> None:
-    """Copy one file if its content differs."""
+    """Replace a copy atomically if its content differs."""
     content = source.read_bytes()
     if copy.exists() and copy.read_bytes() == content:
         return
@@ -69,7 +71,7 @@
 
 
 def main() -> None:
-    """Build."""
+    """Install the libraries, copy the packages and compile everything."""
     install_libraries()
     copy_packages()
     if not compileall.compile_dir(DEPS, quiet=1, optimize=OPTIMIZE):
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,3 +1,3 @@
-"""Test the translation between the users' platform and the product."""
+"""Test what connects the balancer and the agent to the platform."""
 
 from __future__ import annotations
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Test reading the store's items."""
+"""Test decoding the items of the platform's store."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     'warmupLeftMs': 900,
     'sequence': 4,
 }
-#: Any JSON value: what another writer may put in place of a field.
+#: Arbitrary JSON values, which other writers may store in place of a field.
 JSON_VALUES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
@@ -67,18 +67,18 @@
 
 
 def item(key: str, value: object, revision: int) -> documents.Item:
-    """Return an item as the store has it."""
+    """Return an item in the store's encoding."""
     text = base64.b64encode(json.dumps(value).encode()).decode()
     return documents.Item(key, revision, text)
 
 
 def changes(items: list[documents.Item], bad: list) -> records.Changes:
-    """Return items as changes."""
+    """Convert items to changes; append the errors to ``bad``."""
     return documents.to_changes(items, since=3, upto=9, on_invalid=bad.append)
 
 
 def test_entries_become_records() -> None:
-    """Names of the platform end here."""
+    """Entries are converted to records without the platform's field names."""
     bad: list = []
     result = changes(
         [
@@ -105,7 +105,7 @@
 
 
 def test_the_last_event_of_a_key_counts() -> None:
-    """An entry that came back is not removed, and the other way round."""
+    """A rewritten entry is no removal, and a removed one is no target."""
     gone = documents.Item('servers/i-1', 8, tombstone=True)
     back = item('servers/i-1', TARGET, 9)
     assert changes([gone, back], []).removals == []
@@ -113,11 +113,10 @@
 
 
 def test_one_bad_entry_hides_no_other() -> None:
-    """A target's mistake stops all changes.
+    """An invalid entry doesn't block the changes of other entries.
 
-    Symptom: nothing changes any more after one entry was written.
-    Events: an entry without an address is written; others follow.
-    Cause: the whole answer was refused for one entry.
+    Guards against a decoder that rejects the whole answer because of one
+    entry, for example one without an address: no later change then applies.
     """
     bad: list = []
     broken = item('servers/i-2', {'service': 'one'}, 7)
@@ -130,12 +129,11 @@
 
 @pytest.mark.parametrize('field', sorted(TARGET))
 def test_an_entry_without_a_field_names_no_target(field: str) -> None:
-    """New flows go to an address that no server has.
+    """An entry that lacks a field, or has one of another type, is no target.
 
-    Symptom: openings to a target that never answers.
-    Events: another writer leaves an entry that lacks a field, or holds it with
-    another type, under a key of its own or over a server's entry.
-    Cause: missing fields had defaults.
+    Guards against default values for missing fields: another writer's entry,
+    under a key of its own or over a server's entry, then becomes a target, and
+    new flows go to an address where no server answers.
     """
     bad: list = []
     cut = {name: value for name, value in TARGET.items() if name != field}
@@ -172,7 +170,7 @@
     ],
 )
 def test_an_entry_with_an_odd_value_names_no_target(change: dict) -> None:
-    """A state that isn't known was taken for a server that serves."""
+    """Guards against invalid values, such as an unknown state as ready."""
     bad: list = []
     odd = item('servers/i-1', {**TARGET, **change}, 7)
     assert changes([odd], bad).targets == []
@@ -204,7 +202,7 @@
 
 
 def test_a_download_may_be_repeated() -> None:
-    """Sheets were guarded like orders, which nobody repeats."""
+    """Guards against treating downloads as requests that aren't repeated."""
     document = json.loads(json.dumps(CONFIG))
     document['routes'][1]['kind'] = 'download'
     result = changes([item('op/config', document, 8)], [])
@@ -222,7 +220,7 @@
     ],
 )
 def test_a_configuration_is_read_whole_or_not(change: dict) -> None:
-    """A route that can't be read refuses its configuration."""
+    """A configuration with an invalid route is rejected as a whole."""
     document = json.loads(json.dumps(CONFIG))
     document['routes'][1].update(change)
     bad: list = []
@@ -239,7 +237,7 @@
 
 
 def test_the_operators_evacuations_are_read() -> None:
-    """A request stands while its key is there, whatever its value says."""
+    """A request is active while its key exists, whatever its value."""
     result = changes(
         [
             item('op/evacuate/north', {}, 7),
@@ -257,7 +255,7 @@
 
 
 def test_limits_of_cold_servers_are_read() -> None:
-    """A rate of 0, or none, is no limit."""
+    """A rate of 0, or a missing one, means no limit."""
     services = [
         {'name': 'one', 'warmupS': 2.0, 'warmupPerS': 7.5},
         {'name': 'two', 'warmupS': 2.0, 'warmupPerS': 0.0},
@@ -272,7 +270,7 @@
 
 
 def test_what_later_events_replaced_is_kept_too() -> None:
-    """Guards against a server that left and is taken for one that lapsed."""
+    """Guards against taking a server that left for one that expired."""
     gone = documents.Item('servers/i-1', 6, tombstone=True)
     seen = changes(
         [item('servers/i-1', TARGET, 5), gone, item('servers/i-1', TARGET, 7)],
--- a/tests/platform/test_packet_head.py
+++ b/tests/platform/test_packet_head.py
@@ -1,4 +1,4 @@
-"""Test the packet head against the platform's published example."""
+"""Test the packet header against the platform's published example."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from teaseldock import exceptions
 from teaseldock_platform import packet_head
 
-#: The platform's example: from 100.64.0.7:40001 to 198.18.0.1:443.
+#: The platform's example, an opening packet (SYN) from 100.64.0.7:40001 to
+#: 198.18.0.1:443.
 EXAMPLE = bytes.fromhex(
     '20 00 00 00 11 22 33 44 00 00 00 00 00 00 00 00 00 00 9c 41 c6 12 00 01'
     ' 01 bb 64 40 00 07 a1 b2 c3 d5'
 )
-#: The platform's reset for it.
+#: The platform's example of a reset (RST) in response to it.
 RESET = bytes.fromhex(
     '01 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 00 01 bb 64 40 00 07'
     ' 9c 41 c6 12 00 01 00 00 00 00'
@@ -22,7 +23,7 @@
 
 
 def test_the_published_opening_is_read() -> None:
-    """Each field is where the example has it."""
+    """Each field is decoded from its position in the example."""
     item = packet_head.from_caller(EXAMPLE)
     assert item.opening
     assert not item.accepting and not item.resetting and not item.closing
@@ -34,19 +35,19 @@
 
 
 def test_the_published_reset_is_written() -> None:
-    """A reset is byte for byte the example's."""
+    """A reset equals the example byte for byte."""
     assert packet_head.reset(packet_head.from_caller(EXAMPLE)) == RESET
 
 
 def test_a_reset_follows_the_callers_acknowledgement() -> None:
-    """A caller takes a reset only near what it has acknowledged."""
+    """A caller accepts a reset only near its acknowledgement number."""
     raw = b'\x40' + EXAMPLE[1:8] + b'\x00\x01\x02\x03' + EXAMPLE[12:]
     reset = packet_head.reset(packet_head.from_caller(raw))
     assert reset[4:8] == b'\x00\x01\x02\x03'
 
 
 def test_a_servers_packet_belongs_to_its_callers_flow() -> None:
-    """Both directions of a flow have one key."""
+    """Both directions of a flow have the same flow key."""
     asked = packet_head.from_caller(EXAMPLE)
     answer = (
         b'\x60'
@@ -85,6 +86,6 @@
 
 
 def test_a_wrong_length_is_refused() -> None:
-    """A cut datagram is none of its caller's."""
-    with pytest.raises(exceptions.MessageError, match='no packet'):
+    """A datagram whose size differs from its length field is rejected."""
+    with pytest.raises(exceptions.MessageError, match='not a valid packet'):
         packet_head.from_caller(EXAMPLE + b'x')
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Test the settings file of the platform's roles."""
+"""Test reading the settings file of a role."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 
 def read(folder: pathlib.Path, values: dict) -> settings.Settings:
-    """Write a file and read it."""
+    """Write values to a settings file and read it."""
     path = folder / 'node.json'
     path.write_text(json.dumps(values))
     return settings.read({settings.PATH_VARIABLE: str(path)})
 
 
 def test_settings_are_read(tmp_path: pathlib.Path) -> None:
-    """Unknown fields are passed over: new ones may come."""
+    """Unknown fields are ignored: newer templates may add some."""
     values = read(tmp_path, {**VALUES, 'something_new': 1})
     assert values.seed_hosts == ['10.1.0.10', '10.2.0.40']
     assert values.endpoint('ready').port == 8167
 
 
 def test_the_shorter_bound_counts(tmp_path: pathlib.Path) -> None:
-    """Guards against windows that ignore one of the operator's bounds."""
+    """Guards against time windows that ignore one of the operator's bounds."""
     bounds = {'configured_within_ms': 5000, 'drained_within_ms': 3000}
     assert read(tmp_path, {**VALUES, **bounds}).in_force_s == 3.0
 
@@ -67,13 +67,13 @@
 
 
 def test_a_missing_file_is_named() -> None:
-    """So is a file that can't be read."""
+    """The message names the path of a file that can't be read."""
     with pytest.raises(exceptions.SettingError, match='nowhere'):
         settings.read({settings.PATH_VARIABLE: '/nowhere'})
 
 
 def test_the_template_has_every_field() -> None:
-    """The file that the platform fills in has the fields that are read."""
+    """The template that the platform renders has all fields of Settings."""
     text = pathlib.Path('deploy/settings.json').read_text()
     for name in settings.Settings.__struct_fields__:
         assert f'"{name}":' in text
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Test calling the platform's store, against answers that are made up."""
+"""Test the client of the platform's store against prepared answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Receiver:
-    """Keep what the client hands over."""
+    """Record what the client passes on."""
 
     def __init__(self) -> None:
         self.answers: list[records.Changes] = []
@@ -41,7 +41,7 @@
 
 
 class _Client:
-    """Answer each request with the next answer of a list."""
+    """Serve each request with the next answer of a list."""
 
     def __init__(self) -> None:
         self.answers: list[http_exchange.Answer] = []
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def calls() -> tuple[store.StoreClient, _Client, _Receiver]:
-    """Return a client of the store, its connection and its receiver."""
+    """Return a client of the store, its HTTP client and its receiver."""
     receiver, connection = _Receiver(), _Client()
     client = store.StoreClient(
         _Loop(), flow.Endpoint('127.0.0.1', 1), receiver
@@ -66,19 +66,19 @@
 def answer(
     body: typing.Any, *, status: int = 200, era: str | None = None
 ) -> http_exchange.Answer:
-    """Return an answer of the store."""
+    """Return an HTTP answer of the store."""
     headers = {} if era is None else {'store-era': era}
     return http_exchange.Answer(status, headers, json.dumps(body).encode())
 
 
 def page(revision: int, *, key: str = '', truncated: bool = False) -> dict:
-    """Return the body of one page."""
+    """Return the body of a page with at most one item."""
     items = [{'key': key, 'revision': revision, 'value': ''}] if key else []
     return {'items': items, 'truncated': truncated, 'currentRev': revision}
 
 
 def test_a_read_of_all_is_of_the_era_that_the_store_tells(calls) -> None:
-    """Guards against a copy's revisions being compared with older ones."""
+    """Guards against comparing revisions of different eras."""
     client, connection, receiver = calls
     connection.answers = [answer(page(7), era='2')]
     client.read_all()
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize('era', [None, 'x', '-1', '²', ''])
 def test_a_store_that_tells_no_era_has_one_history(calls, era) -> None:
-    """Guards against a header that can't be read ending the reading."""
+    """Guards against a failed read because of an unreadable era header."""
     client, connection, receiver = calls
     connection.answers = [answer(page(7), era=era)]
     client.read_all()
@@ -95,7 +95,7 @@
 
 
 def test_a_watch_asks_for_the_plain_revision(calls) -> None:
-    """Guards against a position that the store takes for a revision."""
+    """Guards against sending a position, with its era, as the revision."""
     client, connection, receiver = calls
     connection.answers = [answer({'events': [], 'currentRev': 9}, era='3')]
     client.watch(positions.make(3, 8))
@@ -105,7 +105,7 @@
 
 
 def test_a_watch_answered_from_another_history_is_a_lost_one(calls) -> None:
-    """Guards against a return that the revision's growth hides."""
+    """Guards against missing a restore after which the revision rose."""
     client, connection, receiver = calls
     connection.answers = [answer({'events': [], 'currentRev': 50}, era='1')]
     client.watch(8)
@@ -114,7 +114,7 @@
 
 
 def test_pages_of_two_histories_are_not_put_together(calls) -> None:
-    """Guards against entries of before and after a return in one read."""
+    """Guards against a read with entries from before and after a restore."""
     client, connection, receiver = calls
     first = page(9, key='servers/a', truncated=True)
     connection.answers = [answer(first, era='0'), answer(page(7), era='1')]
