--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Test calling the platform's store, against answers that are made up."""
+"""Test the client of the platform's store against prepared answers."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from teaseldock_platform import store
 
 
-class _Owner:
-    """Keep what the client hands over."""
+class _Receiver:
+    """Record what the client passes on."""
 
     def __init__(self) -> None:
         self.answers: list[records.Changes] = []
@@ -41,7 +41,7 @@
 
 
 class _Client:
-    """Answer each request with the next answer of a list."""
+    """Serve each request with the next answer of a list."""
 
     def __init__(self) -> None:
         self.answers: list[http_exchange.Answer] = []
@@ -53,69 +53,71 @@
 
 
 @pytest.fixture
-def calls() -> tuple[store.StoreClient, _Client, _Owner]:
-    """Return a client of the store, its connection and its owner."""
-    owner, connection = _Owner(), _Client()
-    client = store.StoreClient(_Loop(), flow.Endpoint('127.0.0.1', 1), owner)
+def calls() -> tuple[store.StoreClient, _Client, _Receiver]:
+    """Return a client of the store, its HTTP client and its receiver."""
+    receiver, connection = _Receiver(), _Client()
+    client = store.StoreClient(
+        _Loop(), flow.Endpoint('127.0.0.1', 1), receiver
+    )
     client._client = connection
-    return client, connection, owner
+    return client, connection, receiver
 
 
 def answer(
     body: typing.Any, *, status: int = 200, era: str | None = None
 ) -> http_exchange.Answer:
-    """Return an answer of the store."""
+    """Return an HTTP answer of the store."""
     headers = {} if era is None else {'store-era': era}
     return http_exchange.Answer(status, headers, json.dumps(body).encode())
 
 
 def page(revision: int, *, key: str = '', truncated: bool = False) -> dict:
-    """Return the body of one page."""
+    """Return the body of a page with at most one item."""
     items = [{'key': key, 'revision': revision, 'value': ''}] if key else []
     return {'items': items, 'truncated': truncated, 'currentRev': revision}
 
 
 def test_a_read_of_all_is_of_the_era_that_the_store_tells(calls) -> None:
-    """Guards against a copy's revisions being compared with older ones."""
-    client, connection, owner = calls
+    """Guards against comparing revisions of different eras."""
+    client, connection, receiver = calls
     connection.answers = [answer(page(7), era='2')]
     client.read_all()
-    assert owner.answers[0].upto == positions.make(2, 7)
+    assert receiver.answers[0].upto == positions.make(2, 7)
 
 
 @pytest.mark.parametrize('era', [None, 'x', '-1', '²', ''])
 def test_a_store_that_tells_no_era_has_one_history(calls, era) -> None:
-    """Guards against a header that can't be read ending the reading."""
-    client, connection, owner = calls
+    """Guards against a failed read because of an unreadable era header."""
+    client, connection, receiver = calls
     connection.answers = [answer(page(7), era=era)]
     client.read_all()
-    assert owner.answers[0].upto == 7
+    assert receiver.answers[0].upto == 7
 
 
 def test_a_watch_asks_for_the_plain_revision(calls) -> None:
-    """Guards against a position that the store takes for a revision."""
-    client, connection, owner = calls
+    """Guards against sending a position, with its era, as the revision."""
+    client, connection, receiver = calls
     connection.answers = [answer({'events': [], 'currentRev': 9}, era='3')]
     client.watch(positions.make(3, 8))
     assert '&after=8&' in connection.paths[0]
-    assert owner.answers[0].since == positions.make(3, 8)
-    assert owner.answers[0].upto == positions.make(3, 9)
+    assert receiver.answers[0].since == positions.make(3, 8)
+    assert receiver.answers[0].upto == positions.make(3, 9)
 
 
 def test_a_watch_answered_from_another_history_is_a_lost_one(calls) -> None:
-    """Guards against a return that the revision's growth hides."""
-    client, connection, owner = calls
+    """Guards against missing a restore after which the revision rose."""
+    client, connection, receiver = calls
     connection.answers = [answer({'events': [], 'currentRev': 50}, era='1')]
     client.watch(8)
-    assert owner.lost == 1
-    assert owner.answers == []
+    assert receiver.lost == 1
+    assert receiver.answers == []
 
 
 def test_pages_of_two_histories_are_not_put_together(calls) -> None:
-    """Guards against entries of before and after a return in one read."""
-    client, connection, owner = calls
+    """Guards against a read with entries from before and after a restore."""
+    client, connection, receiver = calls
     first = page(9, key='servers/a', truncated=True)
     connection.answers = [answer(first, era='0'), answer(page(7), era='1')]
     client.read_all()
-    assert owner.lost == 1
-    assert owner.answers == []
+    assert receiver.lost == 1
+    assert receiver.answers == []
