--- a/packages/teaseldock/teaseldock/packets/__init__.py
+++ b/packages/teaseldock/teaseldock/packets/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions about flows seen as packets; the system ends no connection."""
+"""Decisions about flows at packet level, without terminating connections."""
 
 from __future__ import annotations
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -1,4 +1,4 @@
-"""Decide for a balancer where each packet of a caller goes."""
+"""Choose the destination of each packet that a balancer receives."""
 
 from __future__ import annotations
 
@@ -22,28 +22,30 @@
     from teaseldock.packets import peer as peers
     from teaseldock.packets import records
 
-#: Openings kept while nothing is known of the store yet, and the seconds that
-#: they stay useful: by then the caller has sent a copy. Refusing them would
-#: use up the tries of callers that come back at once; after a loss of power
-#: 40 did so within the 0.1 s that it takes to hear from the store.
+#: Packets kept while the balancer holds no store state yet, and the seconds
+#: for which they are useful: by then the caller has sent a copy. Refusing them
+#: would use up the attempts of callers that reconnect at once; after a loss of
+#: power 40 callers did so within the 0.1 s until the store answered.
 MAX_EARLY_PACKETS = 512
 EARLY_PACKET_TTL_S = 0.2
-#: Seconds without a word of any agent after which some are asked, and how
-#: many: a balancer that no agent reports to must know whether it is cut off.
+#: Seconds without a heartbeat of any agent after which some agents are
+#: queried, and their number. A balancer that no agent reports to must detect
+#: whether it is cut off.
 QUIET_S = 0.5
 ASKED_WHEN_QUIET = 3
 _SHARE_KEY = b'teaseldock-share'
 
 
 class Balancer(node.Node):
-    """Place new flows, and find flows that another balancer has placed.
+    """Places new flows, and finds flows that another balancer has placed.
 
-    What a balancer remembers of a flow is a hint. A backend server that
-    doesn't hold a flow returns its packets; the agents are then asked.
+    The location that a balancer stores for a flow is only a hint. A backend
+    server that does not hold a flow returns its packets; the balancer then
+    queries the agents.
     """
 
     def __init__(self, **options: typing.Any) -> None:
-        """Start without any flow; options as for :class:`node.Node`."""
+        """Create a balancer; options as for :class:`node.Node`."""
         super().__init__(is_balancer=True, **options)
         self._hints = hints.Hints()
         self._targets = candidates.Candidates(
@@ -65,22 +67,22 @@
         self._load_queries = load_query.LoadQueries()
         self._vanished: set[tuple[str, int]] = set()
         self._agent_heard_at = 0.0
-        self._asked_quiet_at = 0.0
-        self._early: collections.deque[tuple[packet.Packet, float]] = (
+        self._queried_quiet_at = 0.0
+        self._early_packets: collections.deque[tuple[packet.Packet, float]] = (
             collections.deque(maxlen=MAX_EARLY_PACKETS)
         )
 
     @property
     def hinted_flows(self) -> int:
-        """Return of how many flows the place is remembered."""
+        """Return the number of flows that have a hint."""
         return len(self._hints)
 
     def ready(self, now: float) -> bool:
         """Tell whether the fabric should send packets here.
 
-        A balancer that is cut off from all agents loses whatever it gets,
-        while it looks healthy to the fabric; callers would notice openings
-        that time out for as long as the cut lasts.
+        A balancer that is cut off from all agents loses all packets that it
+        receives, although the fabric sees it as healthy. Callers' openings
+        would time out for as long as the partition lasts.
         """
         if not self._knowledge.usable or self._leaving:
             return False
@@ -93,29 +95,30 @@
             return
         self._agent_heard_at = now
         for waiting in self._load_queries.answered(peer.host):
-            self._place_asked(waiting, now)
+            self._place_after_query(waiting, now)
 
     def _on_store_change(self, now: float) -> None:
         self._targets.refresh(now)
-        self._ask_vanished(now)
-        self._serve_early(now)
+        self._query_vanished(now)
+        self._process_early(now)
 
-    def _ask_vanished(self, now: float) -> None:
-        """Ask agents whose entries have gone whether they are still there.
+    def _query_vanished(self, now: float) -> None:
+        """Query the agents whose entries have just been removed.
 
-        Entries may expire for want of the store; the flows of such a server
-        live, and would be reset if its agent counted as gone.
+        Entries may expire because the store is unreachable. The flows of such
+        a server are still open, and would be reset if its agent counted as
+        gone.
         """
         vanished = {
             item.target.run: item.target.host
             for item in self._knowledge.recently_removed(now)
         }
         for run in vanished.keys() - self._vanished:
-            self._ask(vanished[run], now)
+            self._query_load(vanished[run], now)
         self._vanished = set(vanished)
 
-    def _ask(self, host: str, now: float) -> None:
-        """Ask an agent how busy its server is."""
+    def _query_load(self, host: str, now: float) -> None:
+        """Query an agent for the load of its server."""
         self._meters.counters['loads_asked'] += 1
         peer = self._mesh.peers.get(host)
         if peer is not None:
@@ -127,37 +130,37 @@
         )
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run periodic work."""
         super().tick(now)
-        self._serve_early(now)
+        self._process_early(now)
         for waiting in self._load_queries.overdue(now):
             self._meters.counters['placed_without_answers'] += 1
-            self._place_asked(waiting, now)
+            self._place_after_query(waiting, now)
         self._locator.tick(now)
-        self._keep_in_touch(now)
+        self._query_if_quiet(now)
 
-    def _keep_in_touch(self, now: float) -> None:
-        """Ask some agents if none has been heard for a while.
+    def _query_if_quiet(self, now: float) -> None:
+        """Query some agents if no heartbeat has arrived for a while.
 
-        Without it a balancer that no agent reports to looks cut off.
+        Otherwise a balancer that no agent reports to looks cut off.
         """
-        if now - max(self._agent_heard_at, self._asked_quiet_at) < QUIET_S:
+        if now - max(self._agent_heard_at, self._queried_quiet_at) < QUIET_S:
             return
-        self._asked_quiet_at = now
+        self._queried_quiet_at = now
         hosts = sorted(
             {item.host for item in self._knowledge.targets.values()}
         )
         count = min(ASKED_WHEN_QUIET, len(hosts))
         for host in self._random.sample(hosts, count):
-            self._ask(host, now)
+            self._query_load(host, now)
 
-    def _serve_early(self, now: float) -> None:
-        if not self._early or self.is_resyncing(now):
+    def _process_early(self, now: float) -> None:
+        if not self._early_packets or self.is_resyncing(now):
             return
         if not self._knowledge.usable:
             return
-        early = list(self._early)
-        self._early.clear()
+        early = list(self._early_packets)
+        self._early_packets.clear()
         for item, at in early:
             if now - at < EARLY_PACKET_TTL_S:
                 self.on_packet(item, now)
@@ -166,7 +169,7 @@
         """Handle a caller's packet from the fabric."""
         self._meters.counters['packets'] += 1
         if not self._knowledge.usable or self.is_resyncing(now):
-            self._early.append((item, now))
+            self._early_packets.append((item, now))
             return
         route = self._knowledge.route(flows.packed_service_endpoint(item.flow))
         if item.opening:
@@ -182,7 +185,8 @@
                 item.flow, service, hints.HintState.SEARCHED
             )
         if hint.state is hints.HintState.OPENING:
-            # It has opened; a copy that still waits must not move it.
+            # The flow is open; a copy of its opening that still waits must not
+            # move it.
             self._load_queries.drop(item.flow)
         if hint.state is hints.HintState.SEARCHED:
             self._locator.search(item, hint, now)
@@ -192,7 +196,7 @@
             self._forward(item, hint)
 
     def _service_of(self, route: records.Route, flow: bytes) -> str:
-        """Return the service of a flow; the same at every balancer."""
+        """Return the service of a flow; it is the same at every balancer."""
         if len(route.choices) == 1:
             return route.choices[0].service
         total = sum(choice.weight for choice in route.choices)
@@ -214,13 +218,13 @@
             service = self._service_of(route, item.flow)
             hint = self._hints.add(item.flow, service, hints.HintState.OPENING)
         elif item.acknowledged and hint.host is not None:
-            # A copy comes when nothing has answered for 200 ms: the server is
-            # silent or gone, or a packet was lost. Asking another one costs
-            # nothing, since the caller takes one answer; waiting for a silent
-            # one costs the whole attempt.
+            # A copy arrives when nothing has answered for 200 ms: the server
+            # is silent or gone, or a packet was lost. Trying another target
+            # costs nothing, since the caller accepts one answer only; waiting
+            # for a silent target costs the whole attempt.
             hint.tried.append(hint.host)
             self._targets.suspect(hint.host, now)
-            self._ask(hint.host, now)
+            self._query_load(hint.host, now)
         self._place(item, hint, now)
 
     def _place(
@@ -231,20 +235,22 @@
         *,
         group: int = 1,
     ) -> None:
-        """Choose the target of a new flow, or ask candidates first.
+        """Choose the target of a new flow, or query candidates first.
 
-        :param group: number of the group of candidates to look at.
+        :param group: number of the group of candidates to consider.
         """
         usable = self._targets.for_new_flow(item.flow, hint, now)
         if not usable and not hint.denied.issuperset(hint.tried):
-            # An earlier copy is still under way to one that has not said no.
-            # A refusal now could meet the flow just as it opens there.
+            # An earlier copy is still on its way to a target that has not
+            # denied it. A refusal now could reset the flow just as it opens
+            # there.
             hint.tried.clear()
             usable = self._targets.for_new_flow(item.flow, hint, now)
         if not usable and hint.host and hint.host not in hint.denied:
-            # Its target may get no new flows any more, but may have accepted
-            # the earlier copy. A reset now would meet the flow as it opens;
-            # that agent tells, or its server repeats its acceptance.
+            # Its target may get no more new flows, but may have accepted the
+            # earlier copy. A reset now could hit the flow as it opens. The
+            # target's agent returns the packet, or its server repeats its
+            # acceptance.
             self._meters.counters['copies_followed'] += 1
             self._forward(item, hint)
             return
@@ -254,18 +260,18 @@
         end = group * placing.CANDIDATES
         members = usable[end - placing.CANDIDATES : end]
         asked = load_query.candidates_to_query(members)
-        if asked and self._may_ask(now):
-            self._inquire(item, hint, members, asked, group, now)
+        if asked and self._may_query(now):
+            self._query_candidates(item, hint, members, asked, group, now)
             return
-        self._settle(item, hint, usable, group, now)
+        self._place_on_best(item, hint, usable, group, now)
 
-    def _may_ask(self, now: float) -> bool:
+    def _may_query(self, now: float) -> bool:
         question = control_budget.Purpose.QUESTION
         return not self._load_queries.full and self._budget.allows(
             question, now
         )
 
-    def _inquire(
+    def _query_candidates(
         self,
         item: packet.Packet,
         hint: hints.Hint,
@@ -287,10 +293,12 @@
             )
         )
         for host in hosts:
-            self._ask(host, now)
+            self._query_load(host, now)
 
-    def _place_asked(self, waiting: load_query.LoadQuery, now: float) -> None:
-        """Place a flow by the answers of its candidates."""
+    def _place_after_query(
+        self, waiting: load_query.LoadQuery, now: float
+    ) -> None:
+        """Place a flow after a load query."""
         hint = waiting.hint
         if self._hints.get(waiting.item.flow) is not hint:
             return
@@ -298,9 +306,9 @@
         if not usable:
             self._place(waiting.item, hint, now)
             return
-        self._settle(waiting.item, hint, usable, waiting.group, now)
+        self._place_on_best(waiting.item, hint, usable, waiting.group, now)
 
-    def _settle(
+    def _place_on_best(
         self,
         item: packet.Packet,
         hint: hints.Hint,
@@ -308,16 +316,17 @@
         group: int,
         now: float,
     ) -> None:
-        """Send a new flow to the best of the candidates looked at so far.
+        """Send a new flow to the best of the candidates considered so far.
 
-        Those that have just answered come first: who did not may be gone.
+        Candidates that have just answered take precedence, since the others
+        may be gone.
         """
-        looked = usable[: group * placing.CANDIDATES]
-        answered = [one for one in looked if load_query.is_fresh(one)]
+        considered = usable[: group * placing.CANDIDATES]
+        answered = [one for one in considered if load_query.is_fresh(one)]
         chosen = placing.pick(
-            answered or looked, data_centre=self._data_centre
+            answered or considered, data_centre=self._data_centre
         )
-        more = len(usable) > len(looked) and group < load_query.MAX_GROUPS
+        more = len(usable) > len(considered) and group < load_query.MAX_GROUPS
         if answered and more and placing.is_loaded(chosen):
             self._place(item, hint, now, group=group + 1)
             return
@@ -339,7 +348,7 @@
         self._forward(item, hint)
 
     def _refuse(self, item: packet.Packet, why: str) -> None:
-        """Reset a flow that is not open: nothing of it has run."""
+        """Reset a flow that is not open; none of its requests has run."""
         self._meters.counters['refused'] += 1
         hint = self._hints.get(item.flow)
         denied = len(hint.denied) if hint else 0
@@ -373,10 +382,10 @@
                 self._locator.on_located(envelope, hint, host, now)
             return
         if envelope.kind == control.KIND_RELAYED:
-            outcome = control.read_relay_result(envelope.body)
-            hint = self._hints.get(outcome.flow)
+            result = control.read_relay_result(envelope.body)
+            hint = self._hints.get(result.flow)
             if hint is not None:
-                self._locator.on_relayed(envelope, outcome, hint, now)
+                self._locator.on_relayed(envelope, result, hint, now)
             return
         if envelope.kind != control.KIND_RETURNED:
             self._meters.counters['dropped_not_for_balancer'] += 1
@@ -391,14 +400,14 @@
     def _on_returned(
         self, item: packet.Packet, hint: hints.Hint, host: str, now: float
     ) -> None:
-        """Look elsewhere for a flow whose target does not hold it."""
+        """Search for a flow that its target does not hold."""
         if hint.state is hints.HintState.LOST:
             self._locator.reset(item)
             return
         hint.denied.add(host)
         moved = hint.host is not None and hint.host != host
         if item.opening:
-            # Another copy may be under way to the target chosen since.
+            # Another copy may be on its way to the target chosen since.
             if not moved:
                 self._place(item, hint, now)
             return
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -1,4 +1,4 @@
-"""Tell which targets may get a new flow, and which may hold an old one."""
+"""Select the targets that may get a new flow or may hold an existing one."""
 
 from __future__ import annotations
 
@@ -20,26 +20,28 @@
     from teaseldock.packets import knowledge
     from teaseldock.packets import store_state
 
-#: Placements remembered for each target; more than the reports of 0.4 s miss.
+#: Placements kept for each target; more than reports that are 0.4 s apart
+#: miss.
 PLACEMENTS_KEPT = 64
-#: Targets that a new flow may get to see, the first in its order.
+#: Maximum number of targets considered for a new flow, the first in its rank.
 MAX_CANDIDATES = placing.CANDIDATES * load_query.MAX_GROUPS
-#: Agents among which those are chosen that ask others about a flow: one for
-#: each 40 targets, and others in turn if they are silent.
+#: Number of agents among which the relays of a search are chosen: one for each
+#: 40 targets, and the next ones if those are silent.
 RELAYS = 16
-#: Seconds after the removal of an entry in which its server may live: the
-#: agent is asked at the removal, and tells all balancers by itself.
+#: Seconds after the removal of an entry for which its server may still be
+#: alive. The agent is queried at the removal, and reports to all balancers by
+#: itself.
 GONE_AFTER_S = 0.5
 
 #: See :attr:`teaseldock.packets.records.Target.run`.
 Run = tuple[str, int]
 
 
-class _Warmth(typing.NamedTuple):
-    """When a target is warm, by an entry of it.
+class _WarmTime(typing.NamedTuple):
+    """When a target is warm, according to one revision of its entry.
 
-    :ivar revision: of the entry.
-    :ivar at: seconds.
+    :ivar revision: revision of the entry.
+    :ivar at: time from which the target is warm, seconds.
     """
 
     revision: int
@@ -47,7 +49,7 @@
 
 
 class Candidates:
-    """The targets as one balancer sees them: entries, reports, own acts."""
+    """The targets by their entries, their reports and own placements."""
 
     def __init__(
         self,
@@ -57,31 +59,33 @@
         *,
         data_centre: str,
     ) -> None:
-        """Start without own acts.
+        """Create a view without own placements.
 
-        :param data_centre: of the balancer.
+        :param data_centre: data centre of the balancer.
         """
         self._knowledge = known
         self._mesh = processes
         self._store = state
         self._data_centre = data_centre
         self._placed: dict[Run, collections.deque[float]] = {}
-        self._warm_at: dict[Run, _Warmth] = {}
+        self._warm_at: dict[Run, _WarmTime] = {}
         self._suspected: dict[str, float] = {}
-        # Of targets that may get new flows, and of all that may hold old ones.
+        # The targets that may get new flows, and all that may hold existing
+        # ones.
         self._placeable_orders = ranking.RankingCache()
         self._holder_orders = ranking.RankingCache()
 
     def refresh(self, now: float) -> None:
-        """Take over changed entries."""
+        """Apply changed entries."""
         self._placeable_orders.clear()
         self._holder_orders.clear()
         targets = {item.run: item for item in self._knowledge.targets.values()}
         for run, target in targets.items():
             known = self._warm_at.get(run)
             if known is None or known.revision != target.revision:
-                # A server may get cold again, as its data centre is emptied.
-                self._warm_at[run] = _Warmth(
+                # A server may become cold again when its data centre is
+                # evacuated.
+                self._warm_at[run] = _WarmTime(
                     target.revision, now + target.warmup_ms / 1000
                 )
         for run in list(self._warm_at):
@@ -90,25 +94,25 @@
                 self._placed.pop(run, None)
 
     def note_placed(self, target: records.Target, now: float) -> None:
-        """Note an own placement, which no report shows yet."""
+        """Record an own placement that no report includes yet."""
         placed = self._placed.setdefault(
             target.run, collections.deque(maxlen=PLACEMENTS_KEPT)
         )
         placed.append(now)
 
     def suspect(self, host: str, now: float) -> None:
-        """Note that an opening at a host had to be repeated.
+        """Record that an opening at a host had to be repeated.
 
-        It is the first sign of a dead instance, a second before its
-        heartbeats are missed; the next heartbeat disproves it.
+        This is the first sign of a dead instance, a second before its
+        heartbeats time out. The next heartbeat clears the suspicion.
         """
         self._suspected[host] = now
 
     def is_silent(self, target: records.Target, now: float) -> bool:
-        """Tell whether the agent of a target doesn't answer.
+        """Tell whether the agent of a target does not answer.
 
-        Nothing is known of most targets; they are asked before they get a
-        flow.
+        Most agents do not report to this balancer and count as alive; they are
+        queried before they get a flow.
         """
         peer = self._mesh.peers.get(target.host)
         if peer is None:
@@ -124,7 +128,7 @@
         return suspected_at > (peer.heard_at or 0.0)
 
     def preferred_data_centre(self, flow: bytes) -> str | None:
-        """Return the data centre that a flow should stay in, if any."""
+        """Return the data centre that a flow should stay in, or None."""
         route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None or route.kind != records.RequestKind.UPLOAD:
             return None
@@ -133,14 +137,14 @@
     def for_new_flow(
         self, flow: bytes, hint: hints.Hint, now: float
     ) -> list[placing.Candidate]:
-        """Return the first targets that may get a new flow, in its order."""
+        """Return the first targets for a new flow in its rank order."""
         first = self._candidates(
-            self._first(flow, hint.service, now), hint, now
+            self._first_in_rank(flow, hint.service, now), hint, now
         )
         accepting = [item for item in first if _accepts(item)]
         if accepting:
             return accepting[:MAX_CANDIDATES]
-        # The first in the order are away, or take nothing.
+        # The first in rank are silent, tried, denied or not accepting.
         targets = self._placeable(hint.service, now)
         order = placing.ranked(
             flow, targets, near=self.preferred_data_centre(flow)
@@ -158,32 +162,34 @@
             if target.host not in hint.tried and target.host not in hint.denied
         ]
 
-    def _first(
+    def _first_in_rank(
         self, flow: bytes, service: str, now: float
     ) -> list[records.Target]:
         near = self.preferred_data_centre(flow)
         targets = self._knowledge.placeable(service)
         first = self._placeable_orders.first(flow, service, targets, near=near)
-        lapsed = self._lapsed(service, now)
+        lapsed = self._recently_expired(service, now)
         if lapsed:
             first = placing.ranked(
                 flow, first + lapsed, near=near, count=ranking.CACHED_TARGETS
             )
         return [item for item in first if not self.is_silent(item, now)]
 
-    def _lapsed(self, service: str, now: float) -> list[records.Target]:
+    def _recently_expired(
+        self, service: str, now: float
+    ) -> list[records.Target]:
         if not self._store.recent_outage(now):
             return []
         return self._knowledge.recently_expired(service, now)
 
     def _placeable(self, service: str, now: float) -> list[records.Target]:
         targets = self._knowledge.placeable(service)
-        targets = targets + self._lapsed(service, now)
+        targets = targets + self._recently_expired(service, now)
         alive = [item for item in targets if not self.is_silent(item, now)]
         return alive or targets
 
     def refusal_reason(self, service: str) -> str:
-        """Return why no target of a service may get a new flow."""
+        """Return the reason why no target of a service may get a new flow."""
         evacuated = self._knowledge.evacuated
         for target in self._knowledge.of_service(service):
             if not target.draining and target.data_centre in evacuated:
@@ -200,33 +206,33 @@
             reported_at = peer.heard_at
         placed = self._placed.get(target.run, ())
         shown = reported_at - placing.UNREPORTED_S
-        warmth = self._warm_at.get(target.run)
+        warm_time = self._warm_at.get(target.run)
         age_s = now - reported_at
         unreported = sum(1 for at in placed if at > shown)
         if age_s > load_query.FRESH_S:
-            # All balancers see old reports alike and take the same target for
-            # the least loaded. Had each counted its own placements only, a
-            # target that has just started would get as many flows from each
-            # of 22 balancers as from one: 50 requests waited there for up to
-            # 3 s. Reckoning that the others place alike, 9 to 12 are there at
-            # the most (test).
+            # All balancers see the same old reports and choose the same least
+            # loaded target. When each counted its own placements only, each of
+            # 22 balancers sent a target that had just started as many flows as
+            # if it were the only balancer: 50 requests waited there for up to
+            # 3 s. With the assumption that the others place as many flows, 9
+            # to 12 requests are there at most.
             unreported *= len(self._mesh.balancers()) + 1
         return placing.Candidate(
             target,
             heartbeat.server_load if heartbeat else None,
             age_s,
             unreported,
-            warmth is not None and now < warmth.at,
+            warm_time is not None and now < warm_time.at,
             heartbeat.failing_percent / 100 if heartbeat else 0.0,
         )
 
     def holders(self, flow: bytes, hint: hints.Hint, now: float) -> list[str]:
-        """Return the hosts that may hold a flow, the likeliest first.
+        """Return the hosts that may hold a flow, the most likely first.
 
-        Those of the services that its route names come first. Elsewhere,
-        agents are asked that may hold it all the same (see
-        :mod:`teaseldock.packets.holdings`), and those that are silent: they
-        may be restarting while their server lives.
+        The targets of the services that its route names come first. Then come
+        other agents that may hold the flow (see
+        :mod:`teaseldock.packets.holdings`) and silent ones, which may be
+        restarting while their server is alive.
         """
         address = flows.packed_service_endpoint(flow)
         services = [hint.service, *self._knowledge.services_of(address)]
@@ -243,14 +249,14 @@
         targets.sort(key=lambda target: target.host not in hint.tried)
         hosts = dict.fromkeys(target.host for target in targets)
         hosts.update(
-            dict.fromkeys(self._outsiders(address, set(services), now))
+            dict.fromkeys(self._other_holders(address, set(services), now))
         )
         return [host for host in hosts if host not in hint.denied]
 
-    def _outsiders(
+    def _other_holders(
         self, address: bytes, services: set[str], now: float
     ) -> list[str]:
-        """Return hosts beyond a route's services that may hold its flows."""
+        """Return hosts outside a route's services that may hold its flows."""
         version = self._knowledge.version
         tags = {control.service_tag(service) for service in services}
         hosts = []
@@ -265,16 +271,16 @@
         return hosts
 
     def _hosts_with_servers(self, now: float) -> list[str]:
-        """Return all hosts whose servers live, as far as can be known.
+        """Return all hosts whose backend server may be alive.
 
-        Agents that are heard though no entry names them count: an entry may
-        have expired for want of the store while its server lives, and a
-        balancer that has started since knows of it by the agent alone.
-        Without them it would reset open flows of that server.
+        They include agents that send heartbeats but have no entry. An entry
+        may have expired because the store is unreachable, while its server is
+        alive; a balancer that has started since then sees only the agent.
+        Without these hosts it would reset open flows of that server.
         """
         hosts = [item.host for item in self._knowledge.targets.values()]
-        # A target without an entry and without an agent is gone for good,
-        # unless its entry may have expired for want of the store.
+        # A target without an entry and without an agent is permanently gone,
+        # unless its entry may have expired because the store was unreachable.
         outage = self._store.recent_outage(now)
         hosts += [
             item.target.host
@@ -290,24 +296,25 @@
         ]
         return hosts
 
-    def is_behind(self, told: int, now: float) -> bool:
-        """Tell whether others know of places that this balancer doesn't.
+    def is_behind(self, reported: int, now: float) -> bool:
+        """Tell whether others hold targets that this balancer lacks.
 
-        So does a balancer that has just started while entries expire for want
-        of the store: it hears of those targets by their agents alone.
+        A balancer that has just started while entries expire during an outage
+        of the store counts as behind: it discovers those targets only by their
+        agents.
 
-        :param told: the newest layout revision of those who were asked.
+        :param reported: newest layout revision in the answers of agents.
         """
         if self._mesh.recently_started(now) and self._store.recent_outage(now):
             return True
-        newest = max(told, self._mesh.newest_layout(now))
+        newest = max(reported, self._mesh.newest_layout(now))
         return newest > self._knowledge.revision
 
     def relays(self, flow: bytes, now: float) -> list[str]:
-        """Return the agents that may ask others about a flow, in order.
+        """Return the agents that may query others about a flow, in order.
 
-        Those of the balancer's own data centre come first: the packet that
-        goes along is charged when it crosses.
+        Those of the balancer's own data centre come first, since traffic
+        between data centres is charged and a relay request carries a packet.
         """
         targets = self._knowledge.targets.values()
         usable = [item for item in targets if not self.is_silent(item, now)]
@@ -325,7 +332,7 @@
 
 
 def _accepts(candidate: placing.Candidate) -> bool:
-    """Tell whether a target may take new flows, as far as is known."""
+    """Tell whether a target may take new flows, by its last report."""
     if candidate.reported is None or candidate.reported.accepting:
         return True
     return candidate.age_s > peers.NEGATIVE_STATE_TTL_S
--- a/packages/teaseldock/teaseldock/packets/control.py
+++ b/packages/teaseldock/teaseldock/packets/control.py
@@ -1,8 +1,8 @@
-"""Messages between the system's processes, and their encoding.
+"""Define the messages between processes, and their encoding.
 
-MessagePack by msgspec: it checks types while it reads, and costs 2 MB of
-memory; the library for thrift that the request family uses costs 13 MB, more
-than the rest of an agent.
+The encoding is MessagePack by msgspec, which checks types while it decodes and
+takes 2 MB of memory. The thrift library of the request family takes 13 MB,
+more than the rest of an agent.
 """
 
 from __future__ import annotations
@@ -22,74 +22,78 @@
 _MAGIC = 0x54
 #: Magic, kind, detail and service tag.
 _HEAD = struct.Struct('>BBHI')
-#: A caller's packet, to be given to the backend server.
+#: A caller's packet for the backend server.
 KIND_PACKET = 1
 #: A caller's packet that the backend server did not take.
 KIND_RETURNED = 2
 #: A heartbeat.
 KIND_HEARTBEAT = 3
-#: A part of changes to what is known.
+#: A fragment of store changes.
 KIND_CHANGES = 4
-#: The question whether a backend server holds a flow: the flow's key.
+#: Asks whether a backend server holds a flow; the body is the flow's key.
 KIND_LOCATE = 5
-#: The answer to it: the flow's key; the detail tells.
+#: Answers KIND_LOCATE with the flow's key; the detail is a LocateResult.
 KIND_LOCATED = 6
-#: The question with a packet of the flow, for an agent that is too young to
-#: know: it gives the packet to its server.
+#: Like KIND_LOCATE, but with a packet of the flow. It is for an agent that has
+#: run too briefly to know; the agent gives the packet to its server.
 KIND_PROBE = 7
-#: The request to ask other agents who holds the flow of a packet: hosts, then
-#: the packet.
+#: Requests that an agent ask others which of them holds the flow of a packet;
+#: the body is their hosts, then the packet.
 KIND_RELAY = 8
-#: The outcome of it: the flow's key and the hosts that it is true of; the
-#: detail tells whether they hold the flow.
+#: Reports the result of KIND_RELAY: the flow's key and the hosts that the
+#: result applies to; the detail is a LocateResult.
 KIND_RELAYED = 9
-#: The question how busy an agent's server is; a heartbeat answers it.
+#: Asks an agent for the load of its server; a heartbeat answers it.
 KIND_GET_LOAD = 10
-#: The request for changes beyond a revision, which is the body.
+#: Requests the changes beyond the revision in the body.
 KIND_GET_CHANGES = 11
-#: The answer to it of a process that has sent enough: who else has them.
+#: Answers KIND_GET_CHANGES if the sender has used up its budget: names another
+#: process that has the changes.
 KIND_REFERRAL = 12
-#: The request for alerts beyond a revision, which is the body, and the answer.
+#: The request for the alerts beyond the revision in the body, and its answer.
 KIND_GET_ALERTS = 13
 KIND_ALERTS = 14
-#: Bytes of an IPv4 address, and of a flow's key.
+#: Bytes of an IPv4 address and of a flow's key.
 _HOST_BYTES = 4
 _FLOW_BYTES = 12
-#: Bytes of changes in one datagram, below the usual MTU with all headers.
+#: Bytes of changes in one datagram; with all headers it stays below the usual
+#: MTU.
 FRAGMENT_BYTES = 1200
-#: Index and count of a fragment, and a number for all of one transfer.
+#: Index and count of a fragment, and the number of its transfer.
 _FRAGMENT = struct.Struct('>HHI')
 #: A revision of the store.
 _REVISION = struct.Struct('>Q')
 
 
 class Heartbeat(typing.NamedTuple):
-    """What a process says of itself.
+    """The state that a process reports to its peers.
 
     :ivar is_balancer: whether it is a balancer; an agent otherwise.
-    :ivar started: tells its runs apart: steady seconds at its start.
+    :ivar started: distinguishes its runs: monotonic milliseconds at its start.
     :ivar leaving: whether it is about to stop.
-    :ivar revision: up to which it knows the store.
-    :ivar confirmed_ms: age of the newest answer of the store that it knows
-        of, its own or a peer's.
+    :ivar revision: store position that it has reached.
+    :ivar confirmed_ms: age of the store's newest answer to this process or to
+        a peer that reported it.
     :ivar store_failing: whether its own calls to the store fail.
     :ivar server_load: load of its backend server, None for a balancer.
-    :ivar named: addresses of balancers that it has heard of, four bytes each;
-        empty in most heartbeats.
-    :ivar failing_percent: part of its backend server's requests that failed
-        lately, 0 for a balancer.
-    :ivar layout_revision: of the newest change that it knows of where flows
-        may be, see :attr:`teaseldock.packets.knowledge.Knowledge`.
-    :ivar holdings: what is to be known of the flows that it holds.
-    :ivar outage_ms: age of the last failed call to the store that it knows
-        of, its own or a peer's; -1 if it knows of none.
+    :ivar named: addresses of live balancers, four bytes each; empty in most
+        heartbeats.
+    :ivar failing_percent: percentage of its backend server's recent requests
+        that failed, 0 for a balancer.
+    :ivar layout_revision: revision of the newest change to the possible
+        locations of flows that it holds, see
+        :attr:`teaseldock.packets.knowledge.Knowledge.layout_revision`.
+    :ivar holdings: summary of the flows that it holds.
+    :ivar outage_ms: age of the last failed call to the store by this process
+        or by a peer that reported it; -1 for none.
     :ivar slim: whether its link is too slow to read the store for others.
-    :ivar alerted: revision of the newest alert, all before it known.
-    :ivar alerts_age_ms: greatest age of an alert that it doesn't know; -1 if
-        it knows nothing.
-    :ivar version: of the configuration that it uses, 0 before the first.
-    :ivar version_age_ms: greatest age of a version that it doesn't know; -1 if
-        it knows nothing.
+    :ivar alerted: revision of the newest alert; it holds all earlier ones.
+    :ivar alerts_age_ms: greatest possible age of an alert that it lacks; -1 if
+        it has no proof of freshness.
+    :ivar version: version of the configuration that it uses, 0 before the
+        first.
+    :ivar version_age_ms: greatest possible age of a version that it lacks; -1
+        if it has no proof of freshness.
     """
 
     is_balancer: bool
@@ -112,19 +116,19 @@
 
     @property
     def balancers(self) -> list[str]:
-        """Return the hosts of the balancers named."""
+        """Return the hosts of the balancers in ``named``."""
         return read_hosts(self.named)
 
 
 class Envelope(typing.NamedTuple):
-    """One datagram between processes, its head decoded.
+    """One datagram between processes with its head decoded.
 
     :ivar kind: one of the kinds of this module.
-    :ivar detail: for a returned packet, why; for an answer, whether the flow
-        is held; for a heartbeat, whether it answers a question.
-    :ivar tag: of the service, see :func:`service_tag`. For an answer, of the
-        service of whoever answers; 0 for a question.
-    :ivar body: what follows the head.
+    :ivar detail: for a returned packet, the reason; for an answer, whether the
+        flow is held; for a heartbeat, whether it answers a question.
+    :ivar tag: tag of the service, see :func:`service_tag`. An answer carries
+        the service of the agent that answers, a question carries 0.
+    :ivar body: the bytes after the head.
     """
 
     kind: int
@@ -134,7 +138,7 @@
 
 
 class RelayRequest(typing.NamedTuple):
-    """A request to ask other agents on behalf of a balancer.
+    """A request that an agent ask other agents on behalf of a balancer.
 
     :ivar hosts: instances to ask.
     :ivar raw: a packet of the flow.
@@ -145,11 +149,11 @@
 
 
 class Located(typing.NamedTuple):
-    """An agent's answer whether its server holds a flow.
+    """An agent's answer on whether its server holds a flow.
 
     :ivar flow: the flow's key.
-    :ivar layout_revision: of the newest change that the agent knows of where
-        flows may be, see :class:`Heartbeat`.
+    :ivar layout_revision: revision of the newest change to the possible
+        locations of flows that the agent holds, see :class:`Heartbeat`.
     """
 
     flow: bytes
@@ -157,11 +161,11 @@
 
 
 class RelayResult(typing.NamedTuple):
-    """What came of an errand.
+    """The result of a relay request for some of its hosts.
 
     :ivar flow: the flow's key.
-    :ivar layout_revision: the newest that any of the hosts told.
-    :ivar hosts: instances that the outcome is true of.
+    :ivar layout_revision: the newest that any of the hosts reported.
+    :ivar hosts: instances that the result applies to.
     """
 
     flow: bytes
@@ -170,85 +174,85 @@
 
 
 def pack_hosts(hosts: list[str]) -> bytes:
-    """Return IPv4 addresses as four bytes each."""
+    """Encode IPv4 addresses as four bytes each."""
     return b''.join(bytes(map(int, host.split('.'))) for host in hosts)
 
 
 def read_hosts(packed: bytes) -> list[str]:
-    """Return the addresses that were packed."""
+    """Decode IPv4 addresses of four bytes each."""
     return [
         '.'.join(map(str, packed[start : start + _HOST_BYTES]))
         for start in range(0, len(packed), _HOST_BYTES)
     ]
 
 
-def pack_relay_request(errand: RelayRequest) -> bytes:
-    """Return an errand as a datagram."""
-    head = bytes([len(errand.hosts)]) + pack_hosts(errand.hosts)
-    return pack(KIND_RELAY, 0, 0, head + errand.raw)
+def pack_relay_request(request: RelayRequest) -> bytes:
+    """Encode a relay request as a datagram."""
+    head = bytes([len(request.hosts)]) + pack_hosts(request.hosts)
+    return pack(KIND_RELAY, 0, 0, head + request.raw)
 
 
 def read_relay_request(envelope: Envelope) -> RelayRequest:
-    """Read an errand.
+    """Decode a relay request.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     body = envelope.body
     end = 1 + _HOST_BYTES * body[0] if body else 1
     if len(body) <= end:
         raise exceptions.MessageError(
             'relay',
-            f'{len(body)} bytes hold no hosts and packet',
-            remedy='run one version on all processes; it was dropped',
+            f'{len(body)} bytes are too short for hosts and a packet',
+            remedy='run one version on all processes; the message was dropped',
         )
     return RelayRequest(read_hosts(body[1:end]), body[end:])
 
 
 def pack_located(holding: int, tag: int, answer: Located) -> bytes:
-    """Return an agent's answer as a datagram.
+    """Encode an agent's answer as a datagram.
 
-    :param tag: of the service of whoever answers.
+    :param tag: tag of the service of the agent that answers.
     """
     body = answer.flow + _REVISION.pack(answer.layout_revision)
     return pack(KIND_LOCATED, holding, tag, body)
 
 
 def read_located(body: bytes) -> Located:
-    """Read an agent's answer.
+    """Decode an agent's answer.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     if len(body) != _FLOW_BYTES + _REVISION.size:
         raise exceptions.MessageError(
             'located',
-            f'{len(body)} bytes hold no flow and revision',
-            remedy='run one version on all processes; it was dropped',
+            f'{len(body)} bytes are not a flow key and a revision',
+            remedy='run one version on all processes; the message was dropped',
         )
     return Located(body[:_FLOW_BYTES], read_revision(body[_FLOW_BYTES:]))
 
 
-def pack_relay_result(holding: int, tag: int, outcome: RelayResult) -> bytes:
-    """Return the outcome of an errand as a datagram."""
+def pack_relay_result(holding: int, tag: int, result: RelayResult) -> bytes:
+    """Encode the result of a relay request as a datagram."""
     body = (
-        outcome.flow
-        + _REVISION.pack(outcome.layout_revision)
-        + pack_hosts(outcome.hosts)
+        result.flow
+        + _REVISION.pack(result.layout_revision)
+        + pack_hosts(result.hosts)
     )
     return pack(KIND_RELAYED, holding, tag, body)
 
 
 def read_relay_result(body: bytes) -> RelayResult:
-    """Read the outcome of an errand.
+    """Decode the result of a relay request.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     start = _FLOW_BYTES + _REVISION.size
     hosts_bytes = len(body) - start
     if hosts_bytes <= 0 or hosts_bytes % _HOST_BYTES:
         raise exceptions.MessageError(
             'relayed',
-            f'{len(body)} bytes hold no flow and hosts',
-            remedy='run one version on all processes; it was dropped',
+            f'{len(body)} bytes are not a flow key, a revision and hosts',
+            remedy='run one version on all processes; the message was dropped',
         )
     return RelayResult(
         body[:_FLOW_BYTES],
@@ -258,27 +262,27 @@
 
 
 def pack_get_changes(revision: int) -> bytes:
-    """Return the request for all changes beyond a revision."""
+    """Encode the request for all changes beyond a revision."""
     return pack(KIND_GET_CHANGES, 0, 0, _REVISION.pack(revision))
 
 
 def pack_get_alerts(revision: int) -> bytes:
-    """Return the request for all alerts beyond a revision."""
+    """Encode the request for all alerts beyond a revision."""
     return pack(KIND_GET_ALERTS, 0, 0, _REVISION.pack(revision))
 
 
 def pack_alerts(alerts: records.Alerts) -> bytes:
-    """Return alerts as one datagram."""
+    """Encode alerts as one datagram."""
     return pack(KIND_ALERTS, 0, 0, _ENCODER.encode(alerts))
 
 
 def read_alerts(body: bytes) -> records.Alerts:
-    """Read alerts.
+    """Decode alerts.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     try:
-        alerts = _ALERTS.decode(body)
+        alerts = _ALERTS_DECODER.decode(body)
         for item in alerts.items:
             if item.kind == records.AlertKind.ROUTE_DROPPED:
                 bytes.fromhex(item.subject)
@@ -288,71 +292,71 @@
 
 
 def pack_referral(host: str) -> bytes:
-    """Return the advice to ask another process for changes."""
+    """Encode the referral to another process that has the changes."""
     return pack(KIND_REFERRAL, 0, 0, pack_hosts([host]))
 
 
 def read_referral(body: bytes) -> str:
-    """Read whom to ask for changes.
+    """Decode the host that a referral names.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     if len(body) != _HOST_BYTES:
         raise exceptions.MessageError(
             'referral',
-            f'{len(body)} bytes hold no address',
-            remedy='run one version on all processes; it was dropped',
+            f'{len(body)} bytes are not an IPv4 address',
+            remedy='run one version on all processes; the message was dropped',
         )
     return read_hosts(body)[0]
 
 
 def read_revision(body: bytes) -> int:
-    """Read a revision of the store.
+    """Decode a revision of the store.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     if len(body) != _REVISION.size:
         raise exceptions.MessageError(
             'revision',
-            f'{len(body)} bytes hold no revision',
-            remedy='run one version on all processes; it was dropped',
+            f'{len(body)} bytes are not a revision',
+            remedy='run one version on all processes; the message was dropped',
         )
     return _REVISION.unpack(body)[0]
 
 
 def service_tag(service: str) -> int:
-    """Return the 32-bit number that stands for a service."""
+    """Return the 32-bit number that identifies a service."""
     return zlib.crc32(service.encode())
 
 
 def pack(kind: int, detail: int, tag: int, body: bytes) -> bytes:
-    """Return a datagram."""
+    """Encode a datagram."""
     return _HEAD.pack(_MAGIC, kind, detail, tag) + body
 
 
 def unpack(datagram: bytes) -> Envelope:
-    """Read the head of a datagram.
+    """Decode the head of a datagram.
 
-    :raises MessageError: if it is none of the system's own.
+    :raises MessageError: if no process of the system sends such bytes.
     """
     if len(datagram) < _HEAD.size or datagram[0] != _MAGIC:
         raise exceptions.MessageError(
             'internal port',
-            f'{len(datagram)} bytes that no process of ours sent',
+            f'{len(datagram)} bytes are not a message between processes',
             remedy='find the sender; the datagram was dropped',
         )
     _, kind, detail, tag = _HEAD.unpack_from(datagram)
     return Envelope(kind, detail, tag, datagram[_HEAD.size :])
 
 
-_HEARTBEATS = msgspec.msgpack.Decoder(Heartbeat)
-_ALERTS = msgspec.msgpack.Decoder(records.Alerts)
-_CHANGES = msgspec.msgpack.Decoder(records.Changes)
+_HEARTBEAT_DECODER = msgspec.msgpack.Decoder(Heartbeat)
+_ALERTS_DECODER = msgspec.msgpack.Decoder(records.Alerts)
+_CHANGES_DECODER = msgspec.msgpack.Decoder(records.Changes)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 def pack_heartbeat(heartbeat: Heartbeat, *, solicited: bool = False) -> bytes:
-    """Return a heartbeat as a datagram.
+    """Encode a heartbeat as a datagram.
 
     :param solicited: whether it answers a question.
     """
@@ -368,18 +372,18 @@
 
 
 def read_heartbeat(body: bytes) -> Heartbeat:
-    """Read a heartbeat.
+    """Decode a heartbeat.
 
-    :raises MessageError: if the bytes are none.
+    :raises MessageError: if the bytes are malformed.
     """
     try:
-        return _HEARTBEATS.decode(body)
+        return _HEARTBEAT_DECODER.decode(body)
     except msgspec.MsgspecError as error:
         raise _undecodable('heartbeat', error) from error
 
 
 def pack_changes(changes: records.Changes) -> list[bytes]:
-    """Return changes as datagrams, each a fragment."""
+    """Encode changes as datagrams, one for each fragment."""
     packed = zlib.compress(_ENCODER.encode(changes), 1)
     number = zlib.crc32(packed)
     parts = [
@@ -398,20 +402,21 @@
 
 
 class Assembler:
-    """Put the fragments of one sender's changes together."""
+    """Reassembles the changes of one sender from their fragments."""
 
     def __init__(self) -> None:
-        """Start with no fragment."""
+        """Create an assembler without fragments."""
         self._number = 0
         self._parts: dict[int, bytes] = {}
 
     def add(self, body: bytes) -> records.Changes | None:
-        """Take one fragment; return the changes with the last one.
+        """Add one fragment; return the changes once all have arrived.
 
-        A transfer that loses a fragment is given up for the next one: the
-        sender starts again when our heartbeat still shows the old revision.
+        A transfer that lost a fragment is discarded when the next one begins:
+        the sender starts again when our heartbeat still shows the old
+        revision.
 
-        :raises MessageError: if the fragments hold no changes.
+        :raises MessageError: if the fragments do not hold changes.
         """
         try:
             index, count, number = _FRAGMENT.unpack_from(body)
@@ -423,7 +428,7 @@
                 return None
             packed = b''.join(self._parts[i] for i in range(count))
             self._parts = {}
-            return _CHANGES.decode(zlib.decompress(packed))
+            return _CHANGES_DECODER.decode(zlib.decompress(packed))
         except (
             struct.error,
             zlib.error,
--- a/packages/teaseldock/teaseldock/packets/control_budget.py
+++ b/packages/teaseldock/teaseldock/packets/control_budget.py
@@ -1,11 +1,11 @@
-"""Bound what a process spends on talking with other processes.
-
-The load it answers: something changes for all at one moment (a configuration
-with a thousand routes, a third of the instances back from a partition), and
-every process has something to tell to every other one. Sent at once, 195
-processes put 215 to 466 KB/s each on links of 250 KB/s for ten seconds;
-heartbeats that would have said "I have it" waited behind it, so all of it was
-sent again, and packets of callers waited behind both.
+"""Limit the bandwidth that a process spends on control messages.
+
+The limit matters when a change affects all processes at once (a configuration
+with a thousand routes, or a third of the instances returning from a partition)
+and each process has news for every other one. Without it, 195 processes sent
+215 to 466 KB/s each on links of 250 KB/s for ten seconds. Heartbeats that
+would have confirmed the receipt were queued behind the changes, so that all
+changes were sent again, and callers' packets were queued behind both.
 """
 
 from __future__ import annotations
@@ -16,37 +16,38 @@
 
 from teaseldock import budget
 
-#: Bytes a second in the mean that a process may spend on control: what the
+#: Mean bytes a second that a process may spend on control messages: what the
 #: users allow a daemon.
 BYTES_PER_S = 10_000.0
-#: Bytes that may be sent at once after a quiet time: four copies of a
+#: Bytes that may be sent at once after an idle period: four copies of a
 #: configuration of 1,600 routes, so that a change reaches 200 processes in
 #: four generations.
 BURST_BYTES = 32_000.0
-#: Part of its link that a process spends on control at the most: on 2 Mbit/s
-#: the burst is sent within a quarter of a second at full speed, and callers
-#: keep seven eighths of the link in the mean.
+#: Maximum share of the link that control messages take. On 2 Mbit/s the burst
+#: is sent within a quarter of a second at full speed, and callers keep seven
+#: eighths of the link on average.
 LINK_SHARE = 0.125
-#: Seconds of that part that may be sent at once.
+#: Seconds of that share that may be sent as one burst.
 LINK_BURST_S = 0.5
-#: Bytes a second, and at once, for finding flows and for errands, on a wide
-#: link. A search takes some 700 bytes; 280 a second come after a loss of
-#: power, and callers wait for each.
+#: Bytes a second, and bytes in one burst, for searching flows and for relay
+#: requests on a fast link. A search takes some 700 bytes; after a loss of
+#: power there are 280 searches a second, and a caller waits for each.
 SEARCH_BYTES_PER_S = 200_000.0
 SEARCH_BURST_BYTES = 100_000.0
-#: Bytes of the headers of a datagram, which take room on the link too.
+#: Bytes of a datagram's headers, which also take link capacity.
 HEADER_BYTES = 28
-#: Megabits a second below which a process should not read the store for
-#: others: a configuration of 1,600 routes comes as some 300 KB, 50 ms at 50
-#: Mbit/s and 1.2 s at 2, in which callers' packets wait behind it.
+#: Link speed in megabits a second below which a process should not read the
+#: store for others. A configuration of 1,600 routes arrives as some 300 KB,
+#: which takes 50 ms at 50 Mbit/s and 1.2 s at 2 Mbit/s; callers' packets are
+#: queued behind it.
 MIN_READER_LINK_MBPS = 50.0
-#: Megabits a second assumed of a link that the settings don't tell.
+#: Link speed in megabits a second assumed if the settings give none.
 UNKNOWN_LINK_MBPS = 1000.0
 _BYTES_PER_MEGABIT = 125_000.0
 
 
 class Purpose(enum.Enum):
-    """What a datagram between processes is for."""
+    """The purpose of a datagram between processes."""
 
     HEARTBEAT = 'heartbeat'
     QUESTION = 'question'
@@ -56,11 +57,11 @@
     SEARCH = 'search'
 
 
-#: Part of the burst that must be left for a purpose to be sent. Heartbeats
-#: always go: their number is bounded by the fan-out, and without them all
-#: others would take this process for dead. What can be had elsewhere or later
-#: stops first: changes can be asked of somebody else, a notice is repeated by
-#: the next heartbeat.
+#: Share of the burst that must remain for a datagram of a purpose to be sent.
+#: Heartbeats are always sent: the fan-out bounds their number, and without
+#: them the other processes would take this one for dead. Messages that can be
+#: replaced stop first: another process can supply changes, and the next
+#: heartbeat repeats a notice.
 RESERVES: dict[Purpose, float] = {
     Purpose.ALERT: 0.0,
     Purpose.QUESTION: 0.0,
@@ -70,39 +71,40 @@
 
 
 class Share(typing.NamedTuple):
-    """What one purpose may send whatever the others do.
+    """The bytes reserved for one purpose, whatever the others send.
 
-    :ivar bytes_per_s: in the mean.
-    :ivar burst_bytes: at once, after a quiet time.
+    :ivar bytes_per_s: mean rate.
+    :ivar burst_bytes: bytes at once after an idle period.
     """
 
     bytes_per_s: float
     burst_bytes: float
 
 
-#: Shares that no other purpose can use up; what they leave of BYTES_PER_S and
-#: BURST_BYTES is for whoever comes first. Without them, heartbeats that greet
-#: hundreds of restarted processes left no byte for changes for ten seconds,
-#: and new flows reached servers that had said that they leave. Half of the
-#: bytes are left: heartbeats take 1.3 to 3.1 KB/s of them, and the questions
-#: of 50 new flows a second at a balancer 3.1. With a fifth left, one flow in
-#: eight was placed without asking.
+#: Shares that no other purpose can use up. The rest of BYTES_PER_S and
+#: BURST_BYTES is available to any purpose. Without shares, heartbeats to
+#: hundreds of restarted processes left no bytes for changes for ten seconds,
+#: and new flows were sent to servers that had announced that they were
+#: leaving. Half of the bytes are not reserved: heartbeats take 1.3 to 3.1 KB/s
+#: of them, and the questions for 50 new flows a second at a balancer take 3.1
+#: KB/s. With a fifth not reserved, one flow in eight was placed without
+#: queries.
 SHARES: dict[Purpose, Share] = {
     Purpose.QUESTION: Share(500.0, 4000.0),
     Purpose.CHANGES: Share(2000.0, 8000.0),
     Purpose.ALERT: Share(2000.0, 6000.0),
     Purpose.NOTICE: Share(500.0, 4000.0),
 }
-#: Largest datagram between processes, with headers: a share must have room for
-#: it, so that it never goes into debt by what is allowed.
+#: Largest datagram between processes, with headers. A share must hold this
+#: many bytes before it allows a datagram, so that it never goes into debt.
 MAX_DATAGRAM_BYTES = 1428
 
 
 class ControlBudget:
-    """What one process may still send, by purpose."""
+    """The bytes that one process may still send, by purpose."""
 
     def __init__(self, link_mbps: float = UNKNOWN_LINK_MBPS) -> None:
-        """Start with full buckets.
+        """Create a budget with full buckets.
 
         :param link_mbps: speed of this instance's link, megabits a second.
         """
@@ -139,7 +141,7 @@
 
     @property
     def spent(self) -> collections.Counter[str]:
-        """Return bytes sent by purpose, headers included."""
+        """Return the bytes sent by purpose, headers included."""
         return self._spent
 
     def allows(self, purpose: Purpose, now: float) -> bool:
@@ -154,7 +156,7 @@
         return self._general.left(now) > reserve
 
     def spend(self, purpose: Purpose, size: int) -> None:
-        """Count a datagram that is sent.
+        """Charge a datagram that is sent.
 
         :param size: its bytes without headers.
         """
@@ -170,14 +172,15 @@
         general = min(size, max(0.0, self._general.tokens - reserve))
         own = min(size - general, max(0.0, self._shares[purpose].tokens))
         self._shares[purpose].spend(own)
-        # What is sent though it was not allowed is everybody's debt.
+        # Bytes sent beyond what is allowed are charged to all purposes.
         self._general.spend(size - own)
 
     def ran_dry(self, now: float) -> bool:
-        """Tell once, until it has recovered, that the general bucket is empty.
+        """Tell whether the general bucket has just become empty.
 
-        It has recovered when half of the burst is there again: a bucket that
-        hovers around empty would otherwise write a line for each datagram.
+        This is reported again only after half of the burst has been refilled:
+        a bucket that stays close to empty would otherwise write a log line for
+        each datagram.
         """
         left = self._general.left(now)
         if self._dry:
@@ -188,11 +191,11 @@
 
 
 class _Bucket(budget.Budget):
-    """A token bucket that tells what is left."""
+    """A token bucket that exposes its remaining bytes."""
 
     @property
     def tokens(self) -> float:
-        """Return the bytes that were left when last asked."""
+        """Return the remaining bytes at the time of the last check."""
         return self._tokens
 
     def __init__(self, bytes_per_s: float, burst_bytes: float) -> None:
--- a/packages/teaseldock/teaseldock/packets/hints.py
+++ b/packages/teaseldock/teaseldock/packets/hints.py
@@ -1,4 +1,4 @@
-"""Remember where flows are; what is true lies with the backend servers."""
+"""Store likely locations of flows; backend servers are authoritative."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import searching
 
-#: Flows of which a balancer remembers where they are; about 500 bytes each.
+#: Maximum number of hints that a balancer stores; about 500 bytes each.
 MAX_HINTS = 40_000
 
 
 class HintState(enum.Enum):
-    """What a balancer believes of a flow."""
+    """The state of a flow as a balancer assumes it."""
 
     OPENING = 'opening'
     HINTED = 'hinted'
@@ -27,14 +27,15 @@
 class Hint:
     """Where a balancer sends the packets of one flow.
 
-    :ivar service: the service that new flows of its address go to. An older
-        flow may be at another one, see :mod:`teaseldock.packets.holdings`.
-    :ivar tag: of the service whose agents take the flow's packets.
-    :ivar state: what is believed of it.
-    :ivar host: instance that its packets go to, if that is known.
+    :ivar service: service that new flows of its address go to. An older flow
+        may be at another one, see :mod:`teaseldock.packets.holdings`.
+    :ivar tag: tag of the service whose agents accept the flow's packets.
+    :ivar state: assumed state of the flow.
+    :ivar host: instance that its packets go to, or None.
     :ivar tried: hosts that an opening was sent to without an answer so far.
-    :ivar denied: hosts whose server or agent said that it isn't there.
-    :ivar search: the search under way, if any.
+    :ivar denied: hosts whose server or agent answered that it does not hold
+        the flow.
+    :ivar search: the search in progress, or None.
     """
 
     __slots__ = (
@@ -48,7 +49,7 @@
     )
 
     def __init__(self, service: str, state: HintState) -> None:
-        """Start without an instance."""
+        """Create a hint without an instance."""
         self.service = service
         self.tag = control.service_tag(service)
         self.state = state
@@ -59,16 +60,16 @@
 
 
 class Hints:
-    """Hints by flow; the oldest go first."""
+    """Hints by flow; the oldest are evicted first."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty set of hints."""
         self._hints: collections.OrderedDict[bytes, Hint] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Return the number of flows remembered."""
+        """Return the number of hints."""
         return len(self._hints)
 
     def get(self, flow: bytes) -> Hint | None:
@@ -76,7 +77,7 @@
         return self._hints.get(flow)
 
     def add(self, flow: bytes, service: str, state: HintState) -> Hint:
-        """Return a new hint for a flow, in place of any older one."""
+        """Replace the hint of a flow by a new one and return it."""
         hint = Hint(service, state)
         self._hints[flow] = hint
         self._hints.move_to_end(flow)
@@ -85,5 +86,5 @@
         return hint
 
     def drop(self, flow: bytes) -> None:
-        """Forget a flow."""
+        """Remove the hint of a flow."""
         self._hints.pop(flow, None)
--- a/packages/teaseldock/teaseldock/packets/io_interface.py
+++ b/packages/teaseldock/teaseldock/packets/io_interface.py
@@ -1,4 +1,4 @@
-"""Say what decisions about packets need carried out."""
+"""Define the interface through which packet decisions perform I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class IOInterface(abc.ABC):
-    """Carries out what the decisions want to be sent."""
+    """Sends packets and datagrams and reads the store for a node."""
 
     @abc.abstractmethod
     def to_process(self, host: str, datagram: bytes) -> None:
-        """Send to the internal port of a process of the system."""
+        """Send a datagram to the internal port of another process."""
 
     @abc.abstractmethod
     def to_caller(self, item: packet.Packet) -> None:
@@ -22,32 +22,32 @@
 
     @abc.abstractmethod
     def to_server(self, item: packet.Packet, token: bytes) -> None:
-        """Give a packet to the backend server beside this process.
+        """Send a packet to the backend server on this instance.
 
-        :param token: four bytes that come back with a returned packet.
+        :param token: four bytes that a returned packet carries unchanged.
         """
 
     @abc.abstractmethod
     def reset_caller(self, item: packet.Packet) -> None:
         """Reset a flow towards its caller.
 
-        :param item: the caller's packet that is answered so.
+        :param item: the caller's packet that the reset answers.
         """
 
     @abc.abstractmethod
     def read_packet(self, raw: bytes) -> packet.Packet:
-        """Decode a packet that another process passed on.
+        """Decode a packet that another process forwarded.
 
-        :raises MessageError: if the bytes are no packet.
+        :raises MessageError: if the bytes are not a packet.
         """
 
     @abc.abstractmethod
     def original(self, item: packet.Packet) -> bytes:
-        """Return a returned packet as its caller sent it."""
+        """Return the bytes of a returned packet as its caller sent them."""
 
     @abc.abstractmethod
     def read_all(self) -> None:
-        """Read all entries of the store; ends in a call of the node."""
+        """Read all entries of the store and pass them to the node."""
 
     @abc.abstractmethod
     def watch(self, position: int) -> None:
--- a/packages/teaseldock/teaseldock/packets/load_query.py
+++ b/packages/teaseldock/teaseldock/packets/load_query.py
@@ -1,12 +1,12 @@
-"""Ask candidates how busy they are, when a new flow is to be placed.
-
-The load it answers: orders of a flow each on targets that run one or two
-requests at a time. Reports that are sent all the time are 0.1 to 1.1 s old, up
-to thirty service times, so that all balancers choose the target which looked
-idle a moment ago; and they cost each balancer a message a second from every
-target. An answer that was asked for is 2 ms old, and costs as many messages as
-there are new flows, whatever the number of targets. It also tells who lives:
-an opening that is sent to a dead instance costs its caller 200 ms.
+"""Query candidates for their load when a new flow is placed.
+
+Most flows carry one order, and targets run one or two requests at a time.
+Periodic reports are 0.1 to 1.1 s old, up to thirty service times, so that all
+balancers choose the target that was idle a moment ago; they also cost each
+balancer a message a second from every target. The answer to a query is 2 ms
+old, and the number of queries grows with the new flows, not with the targets.
+A query also detects dead instances: an opening that is sent to one costs its
+caller 200 ms.
 """
 
 from __future__ import annotations
@@ -20,22 +20,25 @@
     from teaseldock.packets import packet
 
 #: Age in seconds up to which a report is as good as a new one: about one
-#: service time of the users' shortest requests.
+#: service time of the shortest requests.
 FRESH_S = 0.03
-#: Answers with which a flow is placed; the second of two random choices brings
-#: most of the gain, and a dead candidate then delays nothing.
+#: Number of answers with which a flow is placed. The second of two random
+#: choices brings most of the gain, and with two a dead candidate causes no
+#: delay.
 ENOUGH_ANSWERS = 2
-#: Seconds after which a flow is placed by the answers that are there: five
-#: round trips between data centres, a tenth of what a request may take.
+#: Seconds after which a flow is placed with the answers received so far: five
+#: round trips between data centres, a tenth of the time that a request may
+#: take.
 ANSWER_WAIT_S = 0.015
-#: Groups of candidates that are looked at while all of them are loaded.
+#: Maximum number of groups of candidates considered while all are loaded.
 MAX_GROUPS = 3
-#: Flows that wait for answers at a time; the oldest is placed without.
+#: Maximum number of flows that wait for answers. Further flows are placed
+#: without a query.
 MAX_WAITING = 1000
 
 
 def is_fresh(candidate: placing.Candidate) -> bool:
-    """Tell whether a report is recent enough to place by."""
+    """Tell whether a report is recent enough to place a flow."""
     if candidate.reported is None:
         return False
     return candidate.age_s <= FRESH_S + ANSWER_WAIT_S
@@ -44,9 +47,9 @@
 def candidates_to_query(
     group: list[placing.Candidate],
 ) -> list[placing.Candidate]:
-    """Return the candidates that must be asked before one is chosen.
+    """Return the candidates to query before one is chosen.
 
-    :returns: nobody if enough of them have told lately.
+    :returns: an empty list if enough of them have reported recently.
     """
     stale = [
         item for item in group if item.reported is None or item.age_s > FRESH_S
@@ -57,12 +60,12 @@
 
 
 class LoadQuery:
-    """One new flow whose candidates were asked.
+    """One new flow whose candidates are being queried.
 
     :ivar item: the opening packet.
-    :ivar hint: what is remembered of the flow.
+    :ivar hint: hint of the flow.
     :ivar group: number of the group of candidates, from 1.
-    :ivar answers_missing: answers without which the flow waits on.
+    :ivar answers_missing: number of answers that the flow still waits for.
     """
 
     def __init__(
@@ -75,24 +78,24 @@
         answers_missing: int,
         now: float,
     ) -> None:
-        """Start with all of the hosts asked."""
+        """Create a query that none of the hosts has answered."""
         self.item = item
         self.hint = hint
         self.group = group
         self.answers_missing = answers_missing
-        self._hosts = set(hosts)
+        self._unanswered = set(hosts)
         self._began = now
 
     def answer(self, host: str) -> bool:
-        """Take an answer; tell whether there are enough now."""
-        if host not in self._hosts:
+        """Record an answer; tell whether the flow can be placed."""
+        if host not in self._unanswered:
             return False
-        self._hosts.discard(host)
+        self._unanswered.discard(host)
         self.answers_missing -= 1
-        return self.answers_missing <= 0 or not self._hosts
+        return self.answers_missing <= 0 or not self._unanswered
 
     def overdue(self, now: float) -> bool:
-        """Tell whether the flow has waited long enough."""
+        """Tell whether the time to wait for answers is over."""
         return now - self._began >= ANSWER_WAIT_S
 
 
@@ -100,42 +103,42 @@
     """The new flows of one balancer that wait for answers."""
 
     def __init__(self) -> None:
-        """Start without a flow."""
+        """Create an empty set of queries."""
         self._waiting: dict[bytes, LoadQuery] = {}
 
     def __len__(self) -> int:
-        """Return how many flows wait."""
+        """Return the number of flows that wait."""
         return len(self._waiting)
 
     @property
     def full(self) -> bool:
-        """Tell whether no more flows should wait."""
+        """Tell whether the maximum number of flows is waiting."""
         return len(self._waiting) >= MAX_WAITING
 
     def add(self, query: LoadQuery) -> None:
-        """Let a flow wait; a copy of its opening takes the place of it."""
+        """Add a waiting flow; replace the query for its earlier copy."""
         self._waiting[query.item.flow] = query
 
     def drop(self, flow: bytes) -> None:
-        """Let a flow wait no longer."""
+        """Remove a flow without placing it."""
         self._waiting.pop(flow, None)
 
     def answered(self, host: str) -> list[LoadQuery]:
-        """Take an answer; return the flows that can be placed by it."""
+        """Record an answer; remove and return the flows that can be placed."""
         ready = [
             query for query in self._waiting.values() if query.answer(host)
         ]
-        self._take(ready)
+        self._remove(ready)
         return ready
 
     def overdue(self, now: float) -> list[LoadQuery]:
-        """Return the flows that wait no longer, whoever is silent."""
+        """Remove and return the flows whose time to wait is over."""
         late = [
             query for query in self._waiting.values() if query.overdue(now)
         ]
-        self._take(late)
+        self._remove(late)
         return late
 
-    def _take(self, queries: list[LoadQuery]) -> None:
+    def _remove(self, queries: list[LoadQuery]) -> None:
         for query in queries:
             self._waiting.pop(query.item.flow, None)
--- a/packages/teaseldock/teaseldock/packets/mesh.py
+++ b/packages/teaseldock/teaseldock/packets/mesh.py
@@ -1,15 +1,16 @@
-"""Know the other processes: who is alive, who is ahead, whom to tell.
-
-The load it answers: hundreds of processes, of which each needs to hear that
-others live and whether they know something newer. All balancers telling all
-processes cost 20 KB/s each at 195 processes, and most of the system's
-processor time. So what one process sends depends on fixed fan-outs and not on
-the size of the fleet: a balancer tells a dozen others at a time in turn, and
-the agents that report to it; an agent reports to four balancers. Who is not
-heard is asked when it matters (:mod:`teaseldock.packets.load_query`).
-
-Agents find balancers by the seeds, by what balancers tell of each other, and
-by balancers that call on registered instances.
+"""Track the other processes: which are alive, ahead, or due a heartbeat.
+
+Each of hundreds of processes must detect that the others are alive and whether
+they hold newer data. When all balancers sent heartbeats to all processes, each
+spent 20 KB/s at 195 processes, and heartbeats took most of the system's
+processor time. So the number of messages that a process sends depends on fixed
+fan-outs, not on the size of the fleet: in each round a balancer sends
+heartbeats to a dozen others in turn and to the agents that report to it; an
+agent reports to four balancers. A process without recent heartbeats is queried
+when its state matters (:mod:`teaseldock.packets.load_query`).
+
+Agents discover balancers from the seeds, from the balancers that heartbeats
+name, and from balancers that contact registered instances.
 """
 
 from __future__ import annotations
@@ -25,51 +26,57 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import control
 
-#: Seconds between two rounds of heartbeats, of a balancer to others and of an
-#: agent to those that it reports to. A balancer tells an agent that reports to
-#: it in the first round after TO_AGENT_INTERVAL_S, every second one. Three
-#: rounds fit into HEARTBEAT_TIMEOUT_S.
+#: Seconds between two rounds of heartbeats, from a balancer to other processes
+#: and from an agent to the balancers that it reports to. A balancer sends a
+#: heartbeat to an agent that reports to it in the first round after
+#: TO_AGENT_INTERVAL_S, which is every second one. Three rounds fit into
+#: HEARTBEAT_TIMEOUT_S.
 ROUND_S = 0.4
 TO_AGENT_INTERVAL_S = 0.6
-#: Processes that are told in one round at the most: up to 13 balancers hear
-#: each other in every round; 59 do so in five rounds, with what they heard in
-#: between from others. A round of 12 takes 2.4 KB/s with headers.
+#: Maximum number of balancers that a process sends heartbeats to in one round.
+#: Up to 13 balancers reach each other in every round; 59 do so in five rounds
+#: and receive news from others in between. A round of 12 takes 2.4 KB/s with
+#: headers.
 FAN_OUT = 12
-#: Balancers that an agent reports to. Two may end at once without leaving it
-#: without news; each balancer hears four times the agents over the balancers.
+#: Balancers that an agent reports to. If two stop at once, the agent still
+#: receives updates. Each balancer receives reports from four times the number
+#: of agents divided by the number of balancers.
 BALANCERS_PER_AGENT = 4
-#: Registered instances that a balancer calls on in each round though nobody
-#: reports from there, so that an agent without a living seed is found: one of
-#: 136 by 59 balancers within a second. It answers only if it lacks balancers.
+#: Registered instances without a reporting agent that a balancer contacts in
+#: each round, so that an agent without a live seed is discovered: 59 balancers
+#: reach one of 136 within a second. The agent replies only if it needs more
+#: balancers.
 DISCOVERY_PER_ROUND = 1
 #: Seconds between two heartbeats that name other balancers to a process that
-#: knows some, and how many they name, drawn at random. Naming 24 in each took
-#: 56 KB/s at 98 agents, and 2.6 of 5.3 KB/s at 59 balancers every two seconds.
+#: already has some, and the number of balancers that they name, drawn at
+#: random. Naming 24 in each took 56 KB/s at 98 agents; every two seconds it
+#: took 2.6 of 5.3 KB/s at 59 balancers.
 NAMING_INTERVAL_S = 2.0
 NAMED_AGAIN = 4
-#: Seconds after its start when all that live have heard of a process and
-#: have told it of themselves: a naming and a heartbeat.
+#: Seconds after the start of a process within which all live processes receive
+#: its address and send it a heartbeat: a naming interval and a heartbeat.
 DISCOVERY_S = NAMING_INTERVAL_S + 0.6
-#: Seconds without a heartbeat after which a process counts as silent: three
-#: intervals at the longest, so that two lost datagrams don't do it.
+#: Seconds without a heartbeat after which a process counts as silent: three of
+#: the longest intervals, so that two lost datagrams are not enough.
 HEARTBEAT_TIMEOUT_S = 1.3
-#: Seconds for which it is kept who of the balancers lives.
+#: Seconds for which the list of live balancers is cached.
 ALIVE_CACHE_S = 0.2
 #: Rounds without a heartbeat after which a balancer counts as silent, where
-#: there are more than can be told in one round.
+#: there are more balancers than one round reaches.
 HEARTBEAT_TIMEOUT_ROUNDS = 2.5
-#: Seconds for which it is trusted what an agent told of the flows it holds.
-#: An agent for which that changes tells everybody at once.
+#: Seconds for which an agent's report on the flows that it holds is valid. An
+#: agent whose report changes sends it to all balancers at once.
 REPORT_VALID_S = 3.0
-#: Seconds after which a silent process is forgotten.
+#: Seconds after which a silent process is removed.
 PEER_EXPIRY_S = 30.0
-#: Balancers named to a process that has started; bounds the heartbeat.
+#: Balancers named to a process that has just started; bounds the size of the
+#: heartbeat.
 NAMED_FIRST = 24
 _REPORT_KEY = b'teaseldock-tell1'
 
 
 class Mesh:
-    """All processes that this one talks with."""
+    """The other processes that this one exchanges messages with."""
 
     def __init__(
         self,
@@ -80,7 +87,7 @@
         randomness: random.Random,
         now: float,
     ) -> None:
-        """Start with the seeds as balancers that were not heard.
+        """Create a mesh that holds the seeds, without heartbeats yet.
 
         :param host: own IPv4 address.
         :param seeds: hosts of balancers; may be out of date.
@@ -96,11 +103,11 @@
         self._newest_revision = 0
         self._newest_version = 0
         self._newest_alert = 0
-        # Kept until a process joins, goes or changes its role: ticks look at
-        # them 20 times a second.
+        # Cached until a process joins, leaves or changes its role, since ticks
+        # read them 20 times a second.
         self._balancers: list[peers.Peer] | None = None
-        self._living: list[peers.Peer] = []
-        self._living_at = 0.0
+        self._alive: list[peers.Peer] = []
+        self._alive_at = 0.0
         self.set_seeds(seeds, now)
 
     @property
@@ -109,7 +116,7 @@
         return self._peers
 
     def recently_started(self, now: float) -> bool:
-        """Tell whether some processes may not have heard of this one yet."""
+        """Tell whether some processes may not have discovered this one yet."""
         return now - self._started < DISCOVERY_S
 
     def balancers(self) -> list[peers.Peer]:
@@ -120,15 +127,15 @@
             ]
         return self._balancers
 
-    def _forget_lists(self) -> None:
+    def _clear_caches(self) -> None:
         self._balancers = None
-        self._living_at = 0.0
+        self._alive_at = 0.0
 
     def agents(self) -> list[peers.Peer]:
         """Return the known agents."""
         return [peer for peer in self._peers.values() if not peer.is_balancer]
 
-    def _learn(
+    def _get_or_add(
         self, host: str, *, is_balancer: bool, now: float
     ) -> peers.Peer:
         peer = self._peers.get(host)
@@ -137,25 +144,25 @@
                 host, is_balancer=is_balancer
             )
             peer.added_at = now
-            self._forget_lists()
+            self._clear_caches()
         return peer
 
     def set_seeds(self, hosts: list[str], now: float) -> None:
-        """Take over changed seeds."""
+        """Replace the seeds."""
         self._seeds = [host for host in hosts if host != self._host]
         for host in self._seeds:
-            self._learn(host, is_balancer=True, now=now)
+            self._get_or_add(host, is_balancer=True, now=now)
 
     def update_agents(self, hosts: set[str], now: float) -> None:
-        """Take the instances of registered targets as agents to talk with."""
+        """Add an agent for the instance of each registered target."""
         self._registered = hosts
         for host in hosts:
             if host != self._host:
-                self._learn(host, is_balancer=False, now=now)
+                self._get_or_add(host, is_balancer=False, now=now)
 
     def add_balancer(self, host: str, now: float) -> None:
-        """Take the sender of a balancer's message as one."""
-        self._learn(host, is_balancer=True, now=now)
+        """Add the sender of a balancer's message as a balancer."""
+        self._get_or_add(host, is_balancer=True, now=now)
 
     def record_heartbeat(
         self,
@@ -165,24 +172,26 @@
         *,
         solicited: bool = False,
     ) -> peers.Peer:
-        """Take over the heartbeat of a process on an instance.
+        """Record the heartbeat of the process on an instance.
 
         :param solicited: whether it answers a question.
         """
-        peer = self._learn(host, is_balancer=heartbeat.is_balancer, now=now)
+        peer = self._get_or_add(
+            host, is_balancer=heartbeat.is_balancer, now=now
+        )
         if peer.is_balancer != heartbeat.is_balancer or not peer.heartbeat:
-            self._forget_lists()
+            self._clear_caches()
         peer.record_heartbeat(heartbeat, now, solicited=solicited)
         self._newest_revision = max(self._newest_revision, heartbeat.revision)
         self._newest_alert = max(self._newest_alert, heartbeat.alerted)
         self._newest_version = max(self._newest_version, heartbeat.version)
         for named in heartbeat.balancers:
             if named != self._host:
-                self._learn(named, is_balancer=True, now=now)
+                self._get_or_add(named, is_balancer=True, now=now)
         return peer
 
-    def _silent_s(self, balancers: int) -> float:
-        """Return seconds after which one of some balancers is silent."""
+    def _timeout_s(self, balancers: int) -> float:
+        """Return the seconds after which one of some balancers is silent."""
         rounds = -(-balancers // FAN_OUT)
         if rounds <= 1:
             return HEARTBEAT_TIMEOUT_S
@@ -193,10 +202,10 @@
     def is_new(
         self, host: str, heartbeat: control.Heartbeat, now: float
     ) -> bool:
-        """Tell whether a process has started, or was away, until now.
+        """Tell whether a process has just started or has just returned.
 
-        It waits for a word of this one then: the heartbeat that is due next
-        would leave it with an old view for half a second.
+        Such a process needs a heartbeat at once: until the next regular one it
+        would use an outdated view for half a second.
         """
         peer = self._peers.get(host)
         if peer is None or peer.heartbeat is None:
@@ -204,31 +213,32 @@
         if peer.heartbeat.started != heartbeat.started:
             return True
         if heartbeat.is_balancer and not self._is_balancer:
-            # Balancers that an agent doesn't report to call now and then.
+            # A balancer that the agent does not report to contacts it only
+            # occasionally.
             return False
         after_s = HEARTBEAT_TIMEOUT_S
         if heartbeat.is_balancer:
-            after_s = self._silent_s(len(self.balancers()))
+            after_s = self._timeout_s(len(self.balancers()))
         return not peer.heard_within(after_s, now)
 
     def should_report_to(self, host: str, now: float) -> bool:
         """Tell whether an agent should report to a balancer."""
-        living = self.alive_balancers(now)
-        if len(living) < BALANCERS_PER_AGENT:
+        alive = self.alive_balancers(now)
+        if len(alive) < BALANCERS_PER_AGENT:
             return True
         return any(peer.host == host for peer in self.reported_to(now))
 
     def alive_balancers(self, now: float) -> list[peers.Peer]:
-        """Return the balancers that have been heard lately."""
-        if 0 <= now - self._living_at < ALIVE_CACHE_S:
-            return self._living
+        """Return the balancers with a recent heartbeat."""
+        if 0 <= now - self._alive_at < ALIVE_CACHE_S:
+            return self._alive
         known = self.balancers()
         after_s = HEARTBEAT_TIMEOUT_S
         if self._is_balancer:
-            after_s = self._silent_s(len(known))
-        self._living_at = now
-        self._living = [p for p in known if p.heard_within(after_s, now)]
-        return self._living
+            after_s = self._timeout_s(len(known))
+        self._alive_at = now
+        self._alive = [p for p in known if p.heard_within(after_s, now)]
+        return self._alive
 
     def names_due(self, peer: peers.Peer, now: float) -> int:
         """Return how many balancers the next heartbeat to a process names."""
@@ -242,7 +252,7 @@
         return count
 
     def named_balancers(self, now: float, count: int) -> list[str]:
-        """Return some balancers to tell others of, and this one."""
+        """Return some live balancers to name to others, and this one."""
         heard = self.alive_balancers(now)
         named = self._random.sample(heard, min(count, len(heard)))
         hosts = [peer.host for peer in named]
@@ -255,16 +265,16 @@
     ) -> list[peers.Peer]:
         """Return the processes that a heartbeat is due to.
 
-        Silent ones are still told in their turn, so that both halves of a
-        healed partition meet again.
+        Silent ones still get one in their turn, so that both halves of a
+        healed partition find each other again.
 
-        :param all_balancers: whether an agent has something to tell to all
-            balancers, not only to those that it reports to.
+        :param all_balancers: whether an agent reports to all balancers, not
+            only to those of :meth:`reported_to`.
         """
         if now - self._round_at < ROUND_S:
-            return self._new(now)
+            return self._new_balancers(now)
         self._round_at = now
-        self._forget(now)
+        self._remove_expired(now)
         if self._is_balancer:
             return self._next_balancers() + self._next_agents(now)
         reported_to = self.reported_to(now)
@@ -275,11 +285,11 @@
         ]
         return reported_to + others
 
-    def _new(self, now: float) -> list[peers.Peer]:
-        """Return balancers that became known since the last round."""
+    def _new_balancers(self, now: float) -> list[peers.Peer]:
+        """Return balancers that were added since the last round."""
         count = FAN_OUT
         if not self._is_balancer:
-            # An agent that reports to enough of them doesn't look for more.
+            # An agent that reports to enough balancers does not look for more.
             count = BALANCERS_PER_AGENT - len(self.alive_balancers(now))
         if count <= 0:
             return []
@@ -291,7 +301,7 @@
         return turn[:FAN_OUT]
 
     def _next_agents(self, now: float) -> list[peers.Peer]:
-        """Return the agents that report here, and some that don't."""
+        """Return the agents that report here, and some that do not."""
         reporting = []
         others = []
         for peer in self._peers.values():
@@ -301,17 +311,17 @@
                 others.append(peer)
             elif now - peer.sent_at >= TO_AGENT_INTERVAL_S:
                 reporting.append(peer)
-        called = min(DISCOVERY_PER_ROUND, len(others))
-        return reporting + self._random.sample(others, called)
+        contacted = min(DISCOVERY_PER_ROUND, len(others))
+        return reporting + self._random.sample(others, contacted)
 
     def reported_to(self, now: float) -> list[peers.Peer]:
         """Return the balancers that an agent reports to.
 
-        Each agent has an order of its own, so that all balancers hear about
-        as many. Those that don't answer are replaced, and those that
-        have just started and know nothing yet: an agent whose four balancers
-        restarted at one moment heard 2.6 s late that a server leaves. If all
-        are gone, others are tried in turn.
+        Each agent ranks them differently, so that all balancers have about the
+        same number of agents. Balancers that do not answer are replaced, and
+        so are those that have just started and hold no store state yet: an
+        agent whose four balancers restarted at once learned 2.6 s late that a
+        server was leaving. If none is left, the others are tried in turn.
         """
         answering = [
             peer
@@ -334,18 +344,18 @@
         return peer.report_rank
 
     def to_notify(self, count: int, now: float) -> list[peers.Peer]:
-        """Return whom to tell at once that something is new.
+        """Return the processes to notify at once of a change.
 
-        Some balancers that are behind, drawn at random, who tell others in
-        turn; and the agents that report here.
+        These are the agents that report here and some live balancers, drawn at
+        random, which notify others in turn.
         """
         agents = [
             peer for peer in self._peers.values() if peer.is_reporting(now)
         ]
-        living = self.alive_balancers(now)
-        return agents + self._random.sample(living, min(count, len(living)))
+        alive = self.alive_balancers(now)
+        return agents + self._random.sample(alive, min(count, len(alive)))
 
-    def _forget(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         stale = [
             peer.host
             for peer in self._peers.values()
@@ -356,10 +366,10 @@
         for host in stale:
             del self._peers[host]
         if stale:
-            self._forget_lists()
+            self._clear_caches()
 
     def peers_ahead(self, revision: int, now: float) -> list[peers.Peer]:
-        """Return heard processes that know more than a revision."""
+        """Return live processes whose position is beyond a revision."""
         if self._newest_revision <= revision:
             return []
         return [
@@ -372,10 +382,11 @@
     def peers_with_newer_version(
         self, version: int, now: float
     ) -> list[peers.Peer]:
-        """Return heard processes that use a later configuration.
+        """Return live processes that use a later configuration.
 
-        Their position may be no higher: a process that began with the older
-        configuration of a copy is at the position of those that kept theirs.
+        Their position may be no higher: a process that started with the older
+        configuration of a copy is at the same position as those that kept
+        theirs.
         """
         if self._newest_version <= version:
             return []
@@ -388,13 +399,13 @@
 
     @property
     def newest_alert(self) -> int:
-        """Return the revision of the newest alert that anybody told of."""
+        """Return the revision of the newest alert in any heartbeat."""
         return self._newest_alert
 
     def peers_with_newer_alerts(
         self, revision: int, now: float
     ) -> list[peers.Peer]:
-        """Return heard processes that know of alerts beyond a revision."""
+        """Return live processes that hold alerts beyond a revision."""
         if self._newest_alert <= revision:
             return []
         return [
@@ -405,20 +416,21 @@
         ]
 
     def on_resume(self, pause_s: float) -> None:
-        """Put off judgements on others: this process has stood still.
+        """Postpone failure detection after a pause of this process.
 
-        What was old before the pause stays old: an agent's word on its flows,
-        taken for new, would get a flow reset that it holds by now.
+        What was old before the pause stays old. If an agent's old report on
+        its flows counted as new, a flow that it has accepted since would be
+        reset.
         """
         self._round_at = 0.0
         for peer in self._peers.values():
             peer.asked_at = None
-            peer.unheard_since = None
+            peer.unanswered_since = None
             if peer.heard_at is not None:
                 peer.heard_at += pause_s
 
     def newest_layout(self, now: float) -> int:
-        """Return the newest layout revision of all living processes."""
+        """Return the newest layout revision that live processes report."""
         return max(
             (
                 peer.heartbeat.layout_revision
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -1,4 +1,4 @@
-"""Do what balancers and agents share: know the store and each other."""
+"""Base class of balancers and agents: store replication and peers."""
 
 from __future__ import annotations
 
@@ -25,21 +25,24 @@
     from teaseldock.packets import peer as peers
     from teaseldock.packets import records
 
-#: Balancers that are told at once of something new, and twice as many by who
-#: read it from the store. Each of them tells others: 4 reach 59 balancers in
-#: three generations of 3 ms.
+#: Number of balancers that a process notifies at once of a change; a process
+#: that read the change from the store notifies twice as many. Each of them
+#: notifies others: a fan-out of 4 reaches 59 balancers in three generations of
+#: 3 ms.
 NOTIFY_FAN_OUT = 4
-#: A gap between two ticks beyond this is a pause of this process, seconds.
+#: Seconds between two ticks beyond which this process counts as paused.
 PAUSE_S = 1.0
-#: Seconds after a pause before the process acts on what it knew: thirty round
-#: trips between data centres, in which peers send what changed meanwhile.
+#: Seconds after a pause before the process acts on its stored state again:
+#: thirty round trips between data centres, in which peers send what has
+#: changed.
 RESYNC_S = 0.1
-#: Where changes came from, if not from a process.
+#: Source of changes that were read from the store, not received from a
+#: process.
 SOURCE_STORE = 'store'
 
 
 class Node(abc.ABC):
-    """Spread knowledge, and see who is alive."""
+    """A process that replicates the store and detects live peers."""
 
     def __init__(
         self,
@@ -55,13 +58,13 @@
         link_mbps: float = control_budget.UNKNOWN_LINK_MBPS,
         in_force_s: float = readers.IN_FORCE_S,
     ) -> None:
-        """Start knowing the seeds.
+        """Create a node that holds the seeds and no store state.
 
         :param host: own IPv4 address.
         :param seeds: hosts of balancers.
         :param link_mbps: speed of this instance's link, megabits a second.
         :param in_force_s: seconds within which each change must be in force.
-        :param now: seconds on a clock that never goes back.
+        :param now: monotonic time, seconds.
         """
         self._host = host
         self._data_centre = data_centre
@@ -80,12 +83,12 @@
             now=now,
         )
         self._store = store_state.StoreState()
-        self._alerts_proof = freshness.Freshness(now)
-        self._version_proof = freshness.Freshness(now)
+        self._alerts_freshness = freshness.Freshness(now)
+        self._version_freshness = freshness.Freshness(now)
         self._readers = readers.ReaderElection(
             self._mesh,
             self._store,
-            (self._alerts_proof, self._version_proof),
+            (self._alerts_freshness, self._version_freshness),
             host=host,
             is_balancer=is_balancer,
             slim=self._budget.slim,
@@ -97,22 +100,22 @@
             self._mesh,
             self._budget,
             send=self._send,
-            take=self._take,
-            take_alerts=self._take_alerts,
+            take=self._apply_changes,
+            take_alerts=self._apply_alerts,
             meters=self._meters,
             randomness=randomness,
         )
         self._reading = read_schedule.ReadSchedule(randomness)
-        self._reads_because: readers.ReadReason | None = None
-        self._called_at = now
-        # Position that was known when the call under way began.
-        self._called_knowing = 0
-        self._whole_at = now
+        self._read_reason: readers.ReadReason | None = None
+        self._call_started_at = now
+        # Store position that was held when the pending call began.
+        self._position_at_call = 0
+        self._full_read_at = now
         self._leaving = False
         self._started = int(now * 1000)
         self._last_tick = now
-        self._distrust_until = 0.0
-        self._unnamed: set[str] = set()
+        self._resync_until = 0.0
+        self._unconfigured: set[str] = set()
 
     @property
     def meters(self) -> reporting.Meters:
@@ -121,28 +124,28 @@
 
     @property
     def knowledge(self) -> knowledge.Knowledge:
-        """Return what is known of the store."""
+        """Return the local copy of the store."""
         return self._knowledge
 
     @property
     def mesh(self) -> mesh.Mesh:
-        """Return what is known of other processes."""
+        """Return the state of the other processes."""
         return self._mesh
 
     @property
     def budget(self) -> control_budget.ControlBudget:
-        """Return what may be spent on control."""
+        """Return the bandwidth budget of control messages."""
         return self._budget
 
     @property
     def alerts_age_s(self) -> float:
-        """Return the greatest age of an alert that isn't known, seconds."""
-        return self._alerts_proof.age_s(self._last_tick)
+        """Return the greatest possible age of a missing alert, seconds."""
+        return self._alerts_freshness.age_s(self._last_tick)
 
     @property
     def version_age_s(self) -> float:
-        """Return the greatest age of a version that isn't known, seconds."""
-        return self._version_proof.age_s(self._last_tick)
+        """Return the greatest possible age of a missing version, seconds."""
+        return self._version_freshness.age_s(self._last_tick)
 
     @property
     def leaving(self) -> bool:
@@ -151,7 +154,7 @@
 
     @property
     def _flow_inputs(self) -> dict[str, typing.Any]:
-        """Return the versions by which packets are decided now."""
+        """Return the versions on which packet decisions are based now."""
         return {
             'version': self._knowledge.version,
             'revision': positions.revision(self._knowledge.content_revision),
@@ -160,7 +163,7 @@
 
     @property
     def _alert_inputs(self) -> dict[str, typing.Any]:
-        """Return which alerts are known, and which are heard of."""
+        """Return the newest alerts held here and reported by others."""
         newest = self._mesh.newest_alert
         return {
             'alerts_upto': positions.revision(self._knowledge.alerts_upto),
@@ -172,28 +175,28 @@
     def _on_envelope(
         self, envelope: control.Envelope, host: str, now: float
     ) -> None:
-        """Handle a datagram with a caller's packet."""
+        """Handle a datagram that concerns packets of callers."""
 
     def _on_store_change(self, now: float) -> None:
-        """Take over changed knowledge."""
+        """Apply a change of the local copy of the store."""
 
     def _on_heartbeat(self, peer: peers.Peer, now: float) -> None:
-        """Take over a heartbeat."""
+        """React to the heartbeat of a peer."""
 
     def _server_load(self, now: float) -> typing.Any:
-        """Return the load of this process's backend server, if it has one."""
+        """Return the load of this process's backend server, or None."""
         return None
 
     def _failing_percent(self, now: float) -> int:
-        """Return the part of requests that its backend server failed."""
+        """Return the percentage of requests that the backend server failed."""
         return 0
 
     def _holdings(self, now: float) -> holdings.Holdings:
-        """Return what is to be told of the flows held here."""
+        """Return the summary of held flows that heartbeats carry."""
         return holdings.NOTHING_KNOWN
 
     def _reports_to_all(self, now: float) -> bool:
-        """Tell whether all balancers have to hear this process."""
+        """Tell whether this process reports to all balancers."""
         return False
 
     def leave(self, now: float) -> None:
@@ -206,16 +209,16 @@
         self._send_heartbeats(self._mesh.to_notify(0, now), now)
 
     def is_resyncing(self, now: float) -> bool:
-        """Tell whether what is known may be older than it looks."""
-        return now < self._distrust_until
+        """Tell whether the stored state may be older than its recorded age."""
+        return now < self._resync_until
 
     def check_pause(self, now: float) -> None:
-        """Notice a pause of this process; to be called before any input."""
+        """Detect a pause of this process; to be called before any input."""
         if now - self._last_tick > PAUSE_S:
             self._on_pause(now)
 
     def tick(self, now: float) -> None:
-        """Do what is due; to be called some 20 times a second."""
+        """Run periodic work; to be called some 20 times a second."""
         self.check_pause(now)
         self._last_tick = now
         all_balancers = self._reports_to_all(now)
@@ -229,30 +232,30 @@
         self.read_if_due(now)
         if self._budget.ran_dry(now):
             self._reporter.note('control budget dry', **self._budget.spent)
-        self._note_age(now)
+        self._report_age(now)
 
-    def _note_age(self, now: float) -> None:
-        old = self._alerts_proof.staleness_change(now)
+    def _report_age(self, now: float) -> None:
+        old = self._alerts_freshness.staleness_change(now)
         if old is None:
             return
         self._reporter.note(
             'alerts may be missing' if old else 'alerts current',
-            age_s=round(self._alerts_proof.age_s(now), 2),
+            age_s=round(self._alerts_freshness.age_s(now), 2),
             **self._alert_inputs,
             store_failing=self._store.failing,
             **self._flow_inputs,
         )
 
     def _on_pause(self, now: float) -> None:
-        # After a pause everybody looks silent and all knowledge may be old.
-        # Acting on it at once would send new flows to servers that left.
+        # After a pause all peers look silent and all stored state may be old.
+        # Acting on it at once would send new flows to servers that have left.
         pause_s = now - self._last_tick
         self._last_tick = now
         self._meters.counters['pauses'] += 1
         self._reporter.note(
             'paused', seconds=round(pause_s, 3), **self._flow_inputs
         )
-        self._distrust_until = now + RESYNC_S
+        self._resync_until = now + RESYNC_S
         self._mesh.on_resume(pause_s)
         self._send_heartbeats(
             self._mesh.heartbeats_due(now, all_balancers=False), now
@@ -260,36 +263,36 @@
 
     def reads_store(self, now: float) -> bool:
         """Tell whether this process should read the store."""
-        return self._why_read(now) is not None
+        return self._reason_to_read(now) is not None
 
-    def _why_read(self, now: float) -> readers.ReadReason | None:
+    def _reason_to_read(self, now: float) -> readers.ReadReason | None:
         return self._readers.read_reason(now, leaving=self._leaving)
 
     def read_if_due(self, now: float) -> None:
-        """Call the store if this process should and no call is under way."""
+        """Call the store if this process should and no call is pending."""
         if self._reading.calling:
             return
-        why = self._why_read(now)
-        self._note_reading(why, now)
+        why = self._reason_to_read(now)
+        self._report_reading(why, now)
         if why is None:
             return
         step = self._reading.next_step(self._knowledge.revision, now)
         if step is None:
             return
         self._meters.counters['store_calls'] += 1
-        self._called_at = now
-        self._called_knowing = self._knowledge.revision
+        self._call_started_at = now
+        self._position_at_call = self._knowledge.revision
         if step is read_schedule.Step.READ_ALL:
             self._io.read_all()
         else:
             self._io.watch(self._knowledge.revision)
 
-    def _note_reading(
+    def _report_reading(
         self, why: readers.ReadReason | None, now: float
     ) -> None:
-        if why is self._reads_because:
+        if why is self._read_reason:
             return
-        self._reads_because = why
+        self._read_reason = why
         if why is not None:
             self._meters.counters[f'reads_{why.name.lower()}'] += 1
         self._reporter.note(
@@ -303,66 +306,70 @@
         )
 
     def store_answered(self, changes: records.Changes, now: float) -> None:
-        """Take the answer of a call to the store."""
-        if changes.upto < self._called_knowing:
-            # Taken for an answer, it would count as proof, and the next call
-            # would follow at once, again and again.
+        """Apply the answer to a call to the store."""
+        if changes.upto < self._position_at_call:
+            # If it were accepted, it would count as proof of freshness, and
+            # the next call would follow at once, without end.
             self._meters.counters['store_answers_behind'] += 1
-            upto, known = changes.upto, self._called_knowing
+            upto, known = changes.upto, self._position_at_call
             self.store_failed(
-                f'covers revision {positions.revision(upto)} of era'
+                f'answer ends at revision {positions.revision(upto)} of era'
                 f' {positions.era(upto)}, {positions.revision(known)} of era'
-                f' {positions.era(known)} was known',
+                f' {positions.era(known)} is already held',
                 now,
             )
             return
         if self._store.record_answer(now):
             self._reporter.note('store regained', **self._flow_inputs)
-        changed = self._take(changes, SOURCE_STORE, now)
+        changed = self._apply_changes(changes, SOURCE_STORE, now)
         self._reading.succeeded(now, changed=changed)
         self.read_if_due(now)
 
     def store_lost_history(self, now: float) -> None:
-        """Note that a watch can't go on from our revision."""
+        """Record that a watch cannot continue from the current revision."""
         self._reporter.note('store history lost', **self._flow_inputs)
         self._reading.history_lost(now)
         self.read_if_due(now)
 
     def store_failed(self, problem: str, now: float) -> None:
-        """Note a call to the store without a usable answer."""
+        """Record a call to the store that got no usable answer."""
         self._meters.counters['store_failures'] += 1
         first = self._store.record_failure(now)
         if first:
             self._reporter.note(
                 'store lost', problem=problem, **self._flow_inputs
             )
-        # A single lost answer must not cost the whole time that a change has.
+        # A single lost answer must not use up the whole time in which a change
+        # must be in force.
         probes = first and not self._readers.store_unreachable(now)
         probes = probes or self._readers.is_prober(now, leaving=self._leaving)
         self._reading.failed(now, is_prober=probes)
 
     def entry_refused(self, problem: str) -> None:
-        """Note an entry of the store that could not be read."""
+        """Record an entry of the store that could not be read."""
         self._meters.counters['entries_refused'] += 1
         self._reporter.note('entry refused', problem=problem)
 
-    def _take(self, changes: records.Changes, source: str, now: float) -> bool:
+    def _apply_changes(
+        self, changes: records.Changes, source: str, now: float
+    ) -> bool:
         before = self._knowledge.version
         known = self._knowledge.content_revision
         upto = self._knowledge.revision
         fresh = self._knowledge.apply(changes, now)
-        self._note_era(upto, source)
+        self._report_era(upto, source)
         if not changes.since:
-            self._whole_at = now
-        # Before others are notified: they take the proof along.
+            self._full_read_at = now
+        # This precedes the notification of others, which carries the new
+        # freshness.
         if source == SOURCE_STORE:
-            # A whole read covers what its first page does, not what came
-            # while the others were on their way.
+            # A full read is as fresh as its first page; later pages do not
+            # cover changes that came while they were read.
             whole = not changes.since
-            at = self._called_at if whole else now
-            self._alerts_proof.record_answer(at)
-            self._version_proof.record_answer(at)
-        self._catch_up()
+            at = self._call_started_at if whole else now
+            self._alerts_freshness.record_answer(at)
+            self._version_freshness.record_answer(at)
+        self._update_freshness()
         if not fresh:
             return False
         self._reporter.note(
@@ -376,7 +383,7 @@
             removals=len(changes.removals),
             evacuated=sorted(self._knowledge.evacuated),
         )
-        self._note_unnamed()
+        self._report_unconfigured()
         hosts = {item.host for item in self._knowledge.targets.values()}
         if self._is_balancer:
             self._mesh.update_agents(hosts, now)
@@ -388,10 +395,10 @@
             )
         return True
 
-    def _note_era(self, before: int, source: str) -> None:
-        """Tell that what is known is of another era of the store.
+    def _report_era(self, before: int, source: str) -> None:
+        """Report that the stored state is of another era of the store.
 
-        :param before: position that was known, 0 for nothing.
+        :param before: position that was held before, 0 for none.
         """
         known = self._knowledge.revision
         if not before or positions.same_era(before, known):
@@ -404,16 +411,16 @@
             **self._flow_inputs,
         )
 
-    def _catch_up(self) -> None:
-        """Take over the proof that others have of what is known here."""
-        self._alerts_proof.adopt_claims(self._knowledge.alerts_upto)
-        self._version_proof.adopt_claims(self._knowledge.version)
+    def _update_freshness(self) -> None:
+        """Apply the freshness reported by others up to the state held here."""
+        self._alerts_freshness.adopt_claims(self._knowledge.alerts_upto)
+        self._version_freshness.adopt_claims(self._knowledge.version)
 
-    def _take_alerts(
+    def _apply_alerts(
         self, alerts: records.Alerts, source: str, now: float
     ) -> None:
         fresh = self._knowledge.apply_alerts(alerts, now)
-        self._catch_up()
+        self._update_freshness()
         if not fresh:
             return
         self._reporter.note(
@@ -430,25 +437,26 @@
             self._notify(NOTIFY_FAN_OUT, now)
 
     def _notify(self, balancers: int, now: float) -> None:
-        """Tell some at once that there is something new for them to ask for.
+        """Notify some processes at once that there are changes to request.
 
-        Sending it along would bring it to a process as often as it has peers.
+        A notification carries no changes: with them, each process would
+        receive the changes as often as it has peers.
         """
         notice = control_budget.Purpose.NOTICE
         if not self._budget.allows(notice, now):
             self._meters.counters['notices_left_out'] += 1
             return
         if self._is_balancer:
-            told = self._mesh.to_notify(balancers, now)
+            notified = self._mesh.to_notify(balancers, now)
         else:
-            told = self._mesh.reported_to(now)
-        self._send_heartbeats(told, now, purpose=notice)
+            notified = self._mesh.reported_to(now)
+        self._send_heartbeats(notified, now, purpose=notice)
 
-    def _note_unnamed(self) -> None:
+    def _report_unconfigured(self) -> None:
         unnamed = self._knowledge.entries_of_unknown_services
-        for identifier in sorted(unnamed - self._unnamed):
-            self.entry_refused(f'{identifier}: no such service is configured')
-        self._unnamed = unnamed
+        for identifier in sorted(unnamed - self._unconfigured):
+            self.entry_refused(f'{identifier}: its service is not configured')
+        self._unconfigured = unnamed
 
     def _send(
         self, host: str, datagram: bytes, purpose: control_budget.Purpose
@@ -472,9 +480,9 @@
             self._store.outage_ms(now),
             self._budget.slim,
             self._knowledge.alerted,
-            self._alerts_proof.age_ms(now),
+            self._alerts_freshness.age_ms(now),
             self._knowledge.version,
-            self._version_proof.age_ms(now),
+            self._version_freshness.age_ms(now),
         )
 
     def _send_heartbeats(
@@ -538,7 +546,7 @@
             host, heartbeat, now, solicited=solicited
         )
         self._store.merge_heartbeat(heartbeat, now)
-        self._hear_proof(heartbeat, now)
+        self._merge_freshness(heartbeat, now)
         if new:
             peer.named_at = 0.0
             self._reporter.note(
@@ -548,7 +556,7 @@
                 revision=positions.revision(heartbeat.revision),
                 era=positions.era(heartbeat.revision),
             )
-            if self._greets(peer, now) and not solicited:
+            if self._replies_to(peer, now) and not solicited:
                 self._send_heartbeats([peer], now)
         if heartbeat.alerted > self._knowledge.alerts_upto:
             self._exchange.pull_alerts(now, source=host)
@@ -559,31 +567,34 @@
             self._exchange.pull(now)
         self._on_heartbeat(peer, now)
 
-    def _hear_proof(self, heartbeat: control.Heartbeat, now: float) -> None:
-        """Take over until when another process knows all of each kind.
+    def _merge_freshness(
+        self, heartbeat: control.Heartbeat, now: float
+    ) -> None:
+        """Apply the freshness of alerts and version that a peer reports.
 
-        Not of what waited while this process stood still: its age counts from
-        when it was sent, and would look younger than an alert that is missing.
+        Heartbeats that waited during a pause of this process are ignored:
+        their age counts from the time of sending, so they would make the state
+        look fresher than an alert that is missing.
         """
         if self.is_resyncing(now):
             return
-        self._version_proof.merge_claim(
+        self._version_freshness.merge_claim(
             heartbeat.version,
             heartbeat.version_age_ms,
             now,
             known=self._knowledge.version,
         )
-        known_at = self._alerts_proof.merge_claim(
+        known_at = self._alerts_freshness.merge_claim(
             heartbeat.alerted,
             heartbeat.alerts_age_ms,
             now,
             known=self._knowledge.alerts_upto,
         )
-        if known_at is not None and known_at >= self._whole_at:
+        if known_at is not None and known_at >= self._full_read_at:
             self._knowledge.lower_newest_alert(heartbeat.alerted)
 
-    def _greets(self, peer: peers.Peer, now: float) -> bool:
-        """Tell whether a process that is new hears of this one at once."""
+    def _replies_to(self, peer: peers.Peer, now: float) -> bool:
+        """Tell whether a new process gets a heartbeat of this one at once."""
         if self._is_balancer:
             return True
         return peer.is_balancer and self._mesh.should_report_to(peer.host, now)
--- a/packages/teaseldock/teaseldock/packets/placing.py
+++ b/packages/teaseldock/teaseldock/packets/placing.py
@@ -1,9 +1,9 @@
 """Choose the target of a new flow.
 
-The load it answers: flows of few requests beside flows that last for minutes,
-on targets that run a few requests at once. A request waits as soon as all
-slots of its target are busy, while another target may be idle; so what counts
-is the number of requests per slot, as fresh as it can be had.
+Flows of few requests share targets with flows that last for minutes, and each
+target runs a few requests at once. A request waits as soon as all slots of its
+target are busy, while another target may be idle. So the decision is based on
+the number of requests per slot, as recently as it is known.
 """
 
 from __future__ import annotations
@@ -20,45 +20,48 @@
     from teaseldock import load
     from teaseldock.packets import records
 
-#: Candidates of a flow: the best of this many, first in its rank, gets it. A
-#: flow whose balancer is gone is found by asking the first in its rank, and
-#: more candidates gather the flows of all balancers at the few targets that
-#: looked idle a moment ago: reports are 0.2 to 0.4 s old, ten times a service
-#: time. Played with 24 targets of one slot at 70 % of the capacity, 2, 3 and 4
-#: let 1.3, 1.1 and 1.8 % of the orders end late.
+#: Number of candidates of a flow: the best of this many, first in its rank,
+#: gets it. A flow whose balancer is gone is found by querying the first in its
+#: rank. More candidates concentrate the flows of all balancers on the few
+#: targets that were idle a moment ago: reports are 0.2 to 0.4 s old, ten times
+#: a service time. In a simulation of 24 targets of one slot at 70 % of the
+#: capacity, 1.3, 1.1 and 1.8 % of the orders were late with 2, 3 and 4
+#: candidates.
 CANDIDATES = 3
-#: Requests per slot at which the best of the candidates counts as loaded, and
-#: the next ones in the rank are looked at: more take longer than the latency
-#: objective, which is 4 to 10 times the service time on the users' sheets. At
-#: 1 in place of 6, 7.8 % of the orders end late in the same play, for then
-#: most flows go to whoever looked idle. A target that fails its requests
-#: counts as loaded too.
+#: Requests per slot at which the best of the candidates counts as loaded and
+#: the next ones in the rank are considered. More requests would take longer
+#: than the latency objective, which is 4 to 10 times the service time
+#: according to the users. With 1 instead of 6, 7.8 % of the orders were late
+#: in the same simulation, since most flows went to the target that looked
+#: idle. A target that fails its requests also counts as loaded.
 LOADED = 6.0
-#: Weight of the mean load of the last seconds against the present one. Feeds
-#: ask again and again; the present number misses those between two requests.
+#: Weight of the mean load of the last seconds against the present load. Feeds
+#: send requests repeatedly; the present load misses them between two requests.
 MEAN_WEIGHT = 0.5
-#: Requests per slot that a flow to another data centre must save: placing it
-#: at home saves 1 to 3 ms of a request's 30 to 80 ms and traffic between data
-#: centres.
+#: Requests per slot that a flow to another data centre must save. Placing it
+#: in its own data centre saves 1 to 3 ms of a request's 30 to 80 ms and
+#: traffic between data centres.
 DISTANCE_COST = 0.1
-#: Requests that a held flow adds: a feed asks about once in six seconds for
-#: some 70 ms. It decides between targets that are equally busy, but not
-#: whether a target counts as loaded: with 100 feeds at each, all always were,
-#: so that every new flow went to the target that had started last.
+#: Requests that a held flow counts as: a feed sends one about every six
+#: seconds, which takes some 70 ms. The flows decide between equally busy
+#: targets, but not whether a target counts as loaded: with 100 feeds each, all
+#: targets counted as loaded, and every new flow went to the target that had
+#: started last.
 FLOW_WEIGHT = 0.01
-#: Share of its slots that a target is worth while it warms up; it then takes
-#: 1.6 times as long.
+#: Share of its slots that a target counts with while it warms up; requests
+#: then take 1.6 times as long.
 WARMING_SHARE = 0.6
-#: Requests per slot that a server which fails everything is charged, less in
-#: proportion. A failed request costs its caller at least another attempt, and
-#: a request that can't be repeated is lost; ten waiting requests of 30 to 70
-#: ms cost no more than the latency objective. So such a server still gets new
-#: flows when all others are worse.
+#: Requests per slot added for a server that fails all requests; proportionally
+#: less for one that fails some. A failed request costs its caller at least
+#: another attempt, and a request that cannot be repeated is lost; ten waiting
+#: requests of 30 to 70 ms cost no more than the latency objective. So such a
+#: server still gets new flows when all others are worse.
 FAILING_COST = 10.0
-#: Seconds for which a placement counts that no report can show yet: the way
-#: to the agent, its wait for the next report, and the way back.
+#: Seconds for which a placement counts in addition to the report: the way to
+#: the agent, the wait for its next report, and the way back.
 UNREPORTED_S = 0.01
-#: Addresses whose text is kept, so that each is not made anew for each flow.
+#: Number of addresses whose text is cached, so that it is not built for each
+#: flow.
 ADDRESSES_KEPT = 4096
 _RANK_KEY = b'teaseldock-rank1'
 _BUCKET_KEY = b'teaseldock-bucke'
@@ -68,12 +71,12 @@
     """A target as a balancer sees it at one moment.
 
     :ivar target: its registered entry.
-    :ivar reported: what its agent reported last, or None.
+    :ivar reported: the load that its agent reported last, or None.
     :ivar age_s: age of the report, seconds.
-    :ivar unreported: placements that the report can't show yet, own ones and
-        an estimate of those of other balancers.
-    :ivar warming: whether it has just started.
-    :ivar failing: share of its requests that failed lately.
+    :ivar unreported: placements that the report does not include yet: own ones
+        and an estimate of those of other balancers.
+    :ivar warming: whether it is warming up.
+    :ivar failing: share of its recent requests that failed.
     """
 
     target: records.Target
@@ -85,12 +88,12 @@
 
 
 def bucket(flow: bytes) -> int:
-    """Return the bucket of a flow: flows of one have the same ranks."""
+    """Return the bucket of a flow; all flows of a bucket share their ranks."""
     return flows.bucket_of(flow, key=_BUCKET_KEY)
 
 
 def rank(flow: bytes, target: records.Target) -> bytes:
-    """Return the order of a target among those that a flow may be at."""
+    """Return the sort key of a target in the rank order of a flow."""
     return _rank_in(bucket(flow), target)
 
 
@@ -111,11 +114,11 @@
     near: str | None,
     count: int | None = None,
 ) -> list[records.Target]:
-    """Return targets in the order in which a flow may be at them.
+    """Return targets in the rank order of a flow.
 
     :param near: data centre whose targets come first, for flows that carry
-        many bytes; those that cross are charged.
-    :param count: how many are wanted; all if it is not given.
+        many bytes, since traffic between data centres is charged.
+    :param count: maximum number of targets to return; all if not given.
     """
     number = bucket(flow)
     return heapq.nsmallest(
@@ -134,7 +137,7 @@
 
 
 def occupancy(candidate: Candidate) -> float:
-    """Return requests per slot that are at a target now."""
+    """Return the requests per slot at a target now."""
     waiting = candidate.unreported
     reported = candidate.reported
     if reported is not None:
@@ -144,9 +147,9 @@
 
 
 def placement_cost(candidate: Candidate, *, data_centre: str) -> float:
-    """Return requests per slot that a new flow would meet.
+    """Return the cost of a new flow at a target, in requests per slot.
 
-    :param data_centre: of the balancer that places it.
+    :param data_centre: data centre of the balancer that places it.
     """
     reported = candidate.reported
     flows = FLOW_WEIGHT * reported.flows if reported is not None else 0.0
@@ -166,10 +169,10 @@
     data_centre: str,
     bulky: bool,
 ) -> Candidate | None:
-    """Return where a new flow goes, or None if there is no target.
+    """Return the target of a new flow, or None if there are no candidates.
 
     :param candidates: targets that may get new flows.
-    :param data_centre: of the balancer that places it.
+    :param data_centre: data centre of the balancer that places it.
     :param bulky: whether the flow carries many bytes.
     """
     if not candidates:
@@ -185,15 +188,15 @@
 
 
 def is_loaded(candidate: Candidate) -> bool:
-    """Tell whether a flow should rather go to somebody else."""
+    """Tell whether a flow should go to another target if possible."""
     return occupancy(candidate) + FAILING_COST * candidate.failing >= LOADED
 
 
 def pick(ordered: list[Candidate], *, data_centre: str) -> Candidate:
-    """Return where a new flow goes among candidates in its order.
+    """Return the target of a new flow among candidates in its rank order.
 
-    :param ordered: at least one.
-    :param data_centre: of the balancer that places it.
+    :param ordered: at least one candidate.
+    :param data_centre: data centre of the balancer that places it.
     """
 
     def cost(item: Candidate) -> float:
--- a/packages/teaseldock/teaseldock/packets/ranking.py
+++ b/packages/teaseldock/teaseldock/packets/ranking.py
@@ -1,9 +1,9 @@
-"""Keep the first targets in each rank, so that no flow sorts all of them.
+"""Cache the first targets in each rank order, so that no flow sorts all.
 
-The load it answers: thousands of new flows a second before thousands of
-targets. Ranking 109 targets anew for each flow took 160 us, two thirds of
-placing it, and grows with the targets; which targets come first in a bucket of
-flows changes only when a target comes or goes.
+There may be thousands of new flows a second and thousands of targets. Ranking
+109 targets for each flow took 160 us, two thirds of the time to place it, and
+the time grows with the number of targets. The first targets of a bucket of
+flows change only when a target is added or removed.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import records
 
-#: Targets kept of each order: enough to find placing.CANDIDATES among them
-#: while three quarters are draining, silent or tried.
+#: Targets cached of each rank order: enough to find placing.CANDIDATES among
+#: them while three quarters are draining, silent or tried.
 CACHED_TARGETS = 16
 
 
 class RankingCache:
-    """The first targets of each service, by bucket of flows."""
+    """The first targets of each service in rank order, by bucket of flows."""
 
     def __init__(self) -> None:
-        """Start without an order."""
+        """Create an empty cache."""
         self._orders: dict[
             tuple[str, str | None, int], list[records.Target]
         ] = {}
 
     def clear(self) -> None:
-        """Forget all orders, since the targets have changed."""
+        """Drop all orders, since the targets have changed."""
         self._orders.clear()
 
     def first(
@@ -43,7 +43,8 @@
     ) -> list[records.Target]:
         """Return the first targets of a service for a flow.
 
-        :param targets: all of the service; the same until :meth:`clear`.
+        :param targets: all targets of the service; the same until
+            :meth:`clear`.
         :param near: see :func:`teaseldock.packets.placing.ranked`.
         """
         key = (service, near, placing.bucket(flow))
--- a/packages/teaseldock/teaseldock/packets/reporting.py
+++ b/packages/teaseldock/teaseldock/packets/reporting.py
@@ -1,4 +1,4 @@
-"""Let decisions tell what they decided, without knowing where lines go."""
+"""Report decisions as events and metrics, independent of their output."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 import typing
 
 #: Upper bounds of histogram buckets, milliseconds: from one hop within a data
-#: centre to the time after which a caller gives an opening up.
+#: centre to the time after which a caller abandons an opening.
 BOUNDS_MS = (1.0, 3.0, 10.0, 30.0, 100.0, 200.0, 300.0, 600.0, 1400.0)
 
 
 class Reporter(abc.ABC):
-    """Where decisions leave their lines."""
+    """Receives the events that decisions report."""
 
     @abc.abstractmethod
     def note(self, event: str, **fields: typing.Any) -> None:
-        """Record one decision or change of belief.
+        """Report one decision or change of state.
 
-        :param event: what was decided, a few words.
-        :param fields: the inputs that decided it, their age or version, and
+        :param event: name of the event, a few words.
+        :param fields: the inputs of the decision, their age or version, and
             the outcome.
         """
 
 
 class Histogram:
-    """Count durations by bucket."""
+    """Durations counted by bucket."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty histogram."""
         self._counts = [0] * (len(BOUNDS_MS) + 1)
         self._sum_ms = 0.0
 
     @property
     def counts(self) -> list[int]:
-        """Return counts by bucket, the last for all above."""
+        """Return the counts by bucket; the last is for longer durations."""
         return self._counts
 
     @property
@@ -50,16 +50,16 @@
 
 
 class Meters:
-    """Counters and histograms of one process."""
+    """The counters and histograms of one process."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create counters at zero and no histograms."""
         self._counters: collections.Counter[str] = collections.Counter()
         self._histograms: dict[str, Histogram] = {}
 
     @property
     def counters(self) -> collections.Counter[str]:
-        """Return events by name."""
+        """Return event counts by name."""
         return self._counters
 
     @property
@@ -68,7 +68,7 @@
         return self._histograms
 
     def time(self, name: str, duration_ms: float) -> None:
-        """Count a duration in the histogram of a name."""
+        """Add a duration to the histogram of a name."""
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = self._histograms[name] = Histogram()
@@ -76,7 +76,7 @@
 
 
 def flow_text(flow: bytes) -> str:
-    """Return a flow as ``caller:port>service:port``, its id in all lines."""
+    """Return a flow as ``caller:port>service:port``, as in all log lines."""
     caller = '.'.join(map(str, flow[:4]))
     service = '.'.join(map(str, flow[4:8]))
     caller_port = int.from_bytes(flow[8:10], 'big')
--- a/packages/teaseldock/teaseldock/packets/warming.py
+++ b/packages/teaseldock/teaseldock/packets/warming.py
@@ -1,10 +1,10 @@
-"""Bound what a backend server takes while it is cold.
+"""Limit the flows and requests that a cold backend server receives.
 
-The load it answers: servers that have just started, or that come back cold
-with their data centre, before dozens of balancers that don't hear of each
-other's placements. Only the agent beside a server sees all that it gets, so
-the operator's limit is held there; what is beyond goes back to its balancer,
-which has other servers to choose from.
+A server is cold when it has just started, or when its data centre returns to
+service. Dozens of balancers that do not share their placements send it flows.
+Only the agent on its instance sees all of them, so the agent enforces the
+operator's limit. It returns flows beyond the limit to their balancer, which
+has other servers to choose from.
 """
 
 from __future__ import annotations
@@ -16,41 +16,41 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import records
 
-#: Seconds over which the operator's limit counts.
+#: Seconds over which the operator's limit applies.
 WINDOW_S = 1.0
-#: Part of the limit that an agent allows in the first WINDOW_S of its life: it
-#: doesn't know what passed before it was restarted, and half again as much in
-#: one window is what operators tolerate.
+#: Share of the limit that an agent allows in the first WINDOW_S after its
+#: start. It has no count of what passed before it was restarted, and operators
+#: tolerate half again as much in one window.
 RESTART_SHARE = 0.5
 
 
 class Window:
-    """Events of the last WINDOW_S.
+    """The times of the events within the last WINDOW_S.
 
-    A token bucket of the same rate would let its burst through beyond the
-    limit; the moments of the last few events bound any span exactly.
+    A token bucket of the same rate would let a burst through on top of the
+    limit; the times of the last few events bound any interval exactly.
     """
 
     def __init__(self) -> None:
-        """Start without an event."""
+        """Create an empty window."""
         self._moments: collections.deque[float] = collections.deque()
 
     def note(self, now: float) -> None:
-        """Count one event."""
+        """Record one event."""
         self._moments.append(now)
 
     def count(self, now: float) -> int:
-        """Return the events of the last WINDOW_S."""
+        """Return the number of events within the last WINDOW_S."""
         while self._moments and now - self._moments[0] >= WINDOW_S:
             self._moments.popleft()
         return len(self._moments)
 
 
 class ColdLimiter:
-    """Whether one server is cold, and what it may still take."""
+    """Tracks whether one server is cold, and limits what it receives."""
 
     def __init__(self, now: float) -> None:
-        """Start with a server that is warm, as far as known."""
+        """Create a limiter that assumes a warm server."""
         self._began = now
         self._revision = 0
         self._cold_until = now
@@ -59,21 +59,21 @@
         self._requests = Window()
 
     def set_limit(self, limit: records.ColdLimit | None) -> None:
-        """Take over the operator's limit for the service, None for none."""
+        """Replace the operator's limit for the service, None for no limit."""
         self._limit = limit
 
     def update_entry(self, target: records.Target, now: float) -> None:
-        """Take over how long the server's entry says that it stays cold."""
+        """Apply the remaining cold time from the server's entry."""
         if target.revision == self._revision:
             return
         self._revision = target.revision
         self._cold_until = now + target.warmup_ms / 1000
 
     def assume_cold(self, now: float) -> None:
-        """Take the server for cold until its entry tells.
+        """Assume that the server is cold until its entry says otherwise.
 
-        Servers of a data centre that is taken back may be cold, and their
-        entries say so a heartbeat later; by then, all flows that had gone
+        Servers of a data centre that returns to service may be cold, but their
+        entries show it a heartbeat later; by then, all flows that had moved
         elsewhere would be back at once.
         """
         if self._limit is not None:
@@ -90,24 +90,24 @@
         allowed = self._limit.requests_per_s
         if now - self._began < WINDOW_S:
             allowed *= RESTART_SHARE
-        # A limit below one a second still lets the server take one.
+        # Even with a limit below one per second the server takes one.
         return max(0, max(1, math.floor(allowed)) - window.count(now))
 
     def openings_left(self, now: float) -> int | None:
-        """Return how many more flows may open now; None for any number."""
+        """Return how many more flows may open now; None for no limit."""
         return self._room(self._openings, now)
 
     def requests_left(self, now: float) -> int | None:
-        """Return how many more requests may begin; None for any number."""
+        """Return how many more requests may begin now; None for no limit."""
         return self._room(self._requests, now)
 
     def note_opening(self, now: float) -> None:
-        """Count an opening that goes to the server."""
+        """Record an opening that goes to the server."""
         if self._limit is not None:
             self._openings.note(now)
 
     def note_requests(self, count: int, now: float) -> None:
-        """Count requests that go to the server."""
+        """Record requests that go to the server."""
         if self._limit is not None:
             for _ in range(count):
                 self._requests.note(now)
--- a/tests/packets/test_candidates.py
+++ b/tests/packets/test_candidates.py
@@ -1,4 +1,4 @@
-"""Test what balancers make of reports that lag, by playing loads."""
+"""Test placement with outdated reports, by simulation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Load:
-    """Feeds that ask now and then, and orders on new flows."""
+    """A load of feeds with occasional requests, and orders on new flows."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         feeds: int,
         orders_per_s: float,
     ) -> None:
-        """Let the load run in for four seconds."""
+        """Start the load and run it for four seconds."""
         self.world = packet_world.small_world(
             balancers=16,
             servers=24,
@@ -62,17 +62,16 @@
 
 @pytest.mark.parametrize('seed', [1, 2])
 def test_a_new_target_is_not_flooded(seed: int) -> None:
-    """A target that has just started gets fifty requests at once.
-
-    Symptom: with each server that a release replaces, a hundred requests
-    wait for up to three seconds, while other servers have free slots.
-    Events: a server without feeds joins 24 that hold 67 each; for lack of
-    feeds it looks idle to all 16 balancers, whose reports are 0.2 s old, and
-    it is slow for being cold.
-    Cause: the feeds of the others counted as load, so that nobody took one
-    of a flow's four candidates; and each balancer knew of its own placements
-    only. Before, 33 to 44 orders of some 430 were late in these 3 s, and 15 to
-    25 requests were at the new server.
+    """Guards against a target that gets fifty requests as soon as it starts.
+
+    A server without feeds joins 24 servers that hold 67 each. It looks idle to
+    all 16 balancers, whose reports are 0.2 s old, and it is slow because it is
+    cold. Feeds counted as load, so that the other candidates of a flow were
+    not chosen, and each balancer counted only its own placements. For each
+    server that a release replaced, a hundred requests waited for up to three
+    seconds while other servers had free slots. In this simulation, 33 to 44 of
+    some 430 orders were late in these 3 s, with 15 to 25 requests at the new
+    server.
     """
     load = Load(seed, slots=2, service_s=0.07, feeds=1600, orders_per_s=150.0)
     fresh = '10.0.2.1'
@@ -91,14 +90,13 @@
 
 @pytest.mark.parametrize('seed', [1, 2])
 def test_orders_do_not_gather_where_it_was_idle(seed: int) -> None:
-    """One order in six is late although a third of the slots are free.
-
-    Symptom: on an ordinary day 5 to 15 % of the requests are late, p99 over a
-    second, at 70 % of the capacity.
-    Events: 24 targets of one slot; reports are 0.2 s old, six service times.
-    Cause: a target with one request counted as loaded, so that most flows
-    looked at all targets, and all balancers took the same few that had looked
-    idle. Before, 16 % of the orders were late in this play; now 2 %.
+    """Guards against late orders although a third of the slots are free.
+
+    24 targets have one slot each; reports are 0.2 s old, six service times.
+    When a target with one request counted as loaded, most flows considered all
+    targets, and all balancers chose the same few that had been idle. At 70 %
+    of the capacity, 5 to 15 % of the requests were late, with a p99 over a
+    second. In this simulation 16 % of the orders were late; now 2 % are.
     """
     load = Load(seed, slots=1, service_s=0.033, feeds=2200, orders_per_s=125.0)
     load.world.run(8.0)
@@ -109,12 +107,12 @@
 
 
 def world_of_many() -> packet_world.World:
-    """Return a world whose agents report to four of 16 balancers."""
+    """Return a simulation whose agents report to four of 16 balancers."""
     return packet_world.small_world(balancers=16, servers=6)
 
 
 def avoided(world: packet_world.World, host: str) -> int:
-    """Return how many balancers give an instance no new flow."""
+    """Return the number of balancers that give an instance no new flow."""
     count = 0
     for process in world.balancers():
         usable = process.node._targets.for_new_flow(
@@ -127,14 +125,12 @@
 
 
 def test_an_agent_that_restarts_gets_flows_again() -> None:
-    """After a rolling restart most balancers avoid an instance for ever.
-
-    Symptom: the load of an instance stays at a quarter of the others' after
-    its agent was stopped and started.
-    Events: the agent tells all balancers that it leaves; started again, it
-    reports to four of them.
-    Cause: the last word of a process was believed whatever its age. Before, 7
-    of 16 balancers still avoided the instance after 2.5 s.
+    """Guards against balancers that avoid an instance after its restart.
+
+    A leaving agent reports that to all balancers; after its restart it reports
+    to four of them. When the last report of a process never expired, 7 of 16
+    balancers still avoided the instance after 2.5 s, and its load stayed at a
+    quarter of the others' after a rolling restart.
     """
     world = world_of_many()
     host = '10.0.1.3'
@@ -147,14 +143,14 @@
 
 
 def test_a_server_that_took_no_flows_gets_some_again() -> None:
-    """One answer that a server is not responsive is not held against it."""
+    """The report that a server accepts no flows expires."""
     world = world_of_many()
     host = '10.0.1.3'
     agent = world.processes[host].node
     take_load = agent._server_load
     agent._server_load = lambda now: take_load(now)._replace(accepting=False)
     for process in world.balancers():
-        process.node._ask(host, world.now)
+        process.node._query_load(host, world.now)
     world.run(0.1)
     assert avoided(world, host) == 16
     agent._server_load = take_load
@@ -163,11 +159,11 @@
 
 
 def test_a_suspect_that_answers_is_none() -> None:
-    """A lost packet keeps no instance from flows.
+    """Guards against suspicions that remain after a lost packet.
 
-    Symptom: on a lossy day balancers use fewer and fewer targets.
-    Events: an opening is lost, so that its copy makes its target suspect.
-    Cause: only a heartbeat cleared it, and the agent sends none to most.
+    An opening is lost, and its copy makes its target suspect. Only a heartbeat
+    cleared the suspicion, and an agent sends none to most balancers, so that
+    they used fewer and fewer targets on a lossy network.
     """
     world = world_of_many()
     host = '10.0.1.3'
@@ -175,7 +171,7 @@
         process.node._targets.suspect(host, world.now)
     assert avoided(world, host) == 16
     for process in world.balancers():
-        process.node._ask(host, world.now)
+        process.node._query_load(host, world.now)
     world.run(0.1)
     assert not avoided(world, host)
     for process in world.balancers():
--- a/tests/packets/test_thin_views.py
+++ b/tests/packets/test_thin_views.py
@@ -1,8 +1,8 @@
-"""Test that flows hold where balancers hear only few of the others.
+"""Test that flows hold when each process has contact to few others only.
 
-In worlds of a few processes everybody hears everybody. Here an agent reports
-to one balancer and a balancer tells two others at a time, as it is in
-proportion among hundreds.
+In simulations of a few processes each one has contact to all others. Here an
+agent reports to one balancer and a balancer sends heartbeats to two others at
+a time, which is the same proportion as with hundreds of processes.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
     test_moved_routes,
     test_same_identifier,
 )
-#: It bounds what agents of other services are asked, which is more where they
-#: are not heard.
+#: This test bounds the queries to agents of other services; there are more
+#: when those agents send no heartbeats here.
 BOUNDS_COST = 'test_other_services_cost_a_search_nothing'
 
 
@@ -42,11 +42,13 @@
     ]
 
 
-@pytest.mark.parametrize('play', plain_tests(), ids=lambda item: item.__name__)
+@pytest.mark.parametrize(
+    'flow_test', plain_tests(), ids=lambda item: item.__name__
+)
 def test_flows_hold_with_thin_views(
-    play: typing.Callable[[], None], monkeypatch: pytest.MonkeyPatch
+    flow_test: typing.Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each test of flows holds as it does where all hear all."""
+    """Each test of flows passes as it does with contact to all."""
     monkeypatch.setattr(mesh, 'BALANCERS_PER_AGENT', 1)
     monkeypatch.setattr(mesh, 'FAN_OUT', 2)
-    play()
+    flow_test()
