--- a/tests/packets/__init__.py
+++ b/tests/packets/__init__.py
@@ -1,3 +1,3 @@
-"""Test the decisions about flows as packets."""
+"""Tests of the decisions about flows at packet level."""
 
 from __future__ import annotations
--- a/tests/packets/test_control_budget.py
+++ b/tests/packets/test_control_budget.py
@@ -1,4 +1,4 @@
-"""Test that control stays within its bytes, whoever wants to send."""
+"""Test that control messages stay within the bandwidth budget."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize('link_mbps', [2.0, 20.0, 200.0])
 def test_a_storm_of_changes_is_bounded(link_mbps: float) -> None:
-    """Ten seconds of demand send a burst and ten seconds of the rate."""
+    """Ten seconds of demand send one burst and ten seconds at the rate."""
     budget = control_budget.ControlBudget(link_mbps)
     now = 100.0
     for _ in range(10_000):
@@ -29,7 +29,7 @@
 
 
 def test_a_slim_link_keeps_room_for_callers() -> None:
-    """The burst on 2 Mbit/s fits into a sixteenth of a second of the link."""
+    """On 2 Mbit/s a burst takes at most an eighth of a second of the link."""
     budget = control_budget.ControlBudget(2.0)
     sent = 0
     while budget.allows(Purpose.CHANGES, 100.0):
@@ -41,9 +41,9 @@
 def test_what_can_wait_stops_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Notices stop first, then changes, then questions; heartbeats never.
+    """Notices stop first, then changes, then questions; heartbeats never stop.
 
-    That is so beyond the shares of each purpose, which are left out here.
+    The shares of the purposes are set to zero, since this holds beyond them.
     """
     none = {item: control_budget.Share(0, 0) for item in control_budget.SHARES}
     monkeypatch.setattr(control_budget, 'SHARES', none)
@@ -61,11 +61,11 @@
 
 @pytest.mark.parametrize('link_mbps', [2.0, 20.0, 200.0])
 def test_heartbeats_leave_each_purpose_its_share(link_mbps: float) -> None:
-    """No change is sent for ten seconds, since heartbeats use up all bytes.
+    """Guards against heartbeats that use up the bytes of all other purposes.
 
-    Symptom: new flows reach servers that have said that they leave.
-    Events: hundreds of processes restart, and each is greeted.
-    Cause: heartbeats always go, and what they used was missing for all else.
+    Hundreds of processes restart, and each gets a heartbeat at once.
+    Heartbeats are always sent, so that no change was sent for ten seconds and
+    new flows reached servers that had announced that they were leaving.
     """
     budget = control_budget.ControlBudget(link_mbps)
     sent = dict.fromkeys(control_budget.SHARES, 0)
@@ -82,7 +82,7 @@
 
 
 def test_nobody_uses_the_share_of_another() -> None:
-    """Whatever one purpose demands, the others still have their shares."""
+    """Whatever one purpose sends, the others still have their shares."""
     for greedy in control_budget.SHARES:
         budget = control_budget.ControlBudget()
         while budget.allows(greedy, 100.0):
@@ -92,7 +92,7 @@
 
 
 def test_shares_are_within_the_whole() -> None:
-    """All shares together leave something for whoever comes first."""
+    """The shares leave some bytes that any purpose may use."""
     shares = control_budget.SHARES.values()
     rate = sum(share.bytes_per_s for share in shares)
     burst = sum(share.burst_bytes for share in shares)
@@ -101,7 +101,7 @@
 
 
 def test_searches_do_not_wait_for_changes() -> None:
-    """A caller's lost flow is found though changes have used their bytes."""
+    """Searches are sent although changes have used up their bytes."""
     budget = control_budget.ControlBudget()
     budget.spend(Purpose.CHANGES, 10 * int(control_budget.BURST_BYTES))
     assert not budget.allows(Purpose.CHANGES, 100.0)
@@ -109,7 +109,7 @@
 
 
 def test_running_dry_is_told_once() -> None:
-    """One line when the bytes are gone, the next after they were back."""
+    """An empty bucket is reported once until it has been refilled."""
     budget = control_budget.ControlBudget()
     assert not budget.ran_dry(100.0)
     budget.spend(Purpose.CHANGES, 2 * int(control_budget.BURST_BYTES))
@@ -133,7 +133,7 @@
 def test_nothing_but_heartbeats_makes_debts(
     demands: list[tuple[control_budget.Purpose, float, int]],
 ) -> None:
-    """Whatever is asked for, what is allowed stays within the buckets."""
+    """Whatever is requested, the allowed bytes stay within the buckets."""
     budget = control_budget.ControlBudget()
     began = now = 100.0
     for purpose, pause_s, size in demands:
--- a/tests/packets/test_inquiry.py
+++ b/tests/packets/test_inquiry.py
@@ -1,4 +1,4 @@
-"""Test what callers get when candidates are asked how busy they are."""
+"""Test load queries, and their effect on callers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def candidate(number: int, age_s: float | None) -> placing.Candidate:
-    """Return a candidate whose report has an age, or that has none."""
+    """Return a candidate whose report has an age, or without a report."""
     target = records.Target(
         f'i-{number}', 'd', f'10.0.1.{number}', 1, 'dc', 2, False, 0, 1
     )
@@ -28,7 +28,7 @@
 
 
 def opening(number: int) -> packet.Packet:
-    """Return the opening of a flow."""
+    """Return the opening packet of a flow."""
     flow = number.to_bytes(12, 'big')
     return packet.Packet(
         flow, True, False, False, False, False, 0, 0, 0, bytes(4), b''
@@ -38,7 +38,7 @@
 def waiting(
     number: int, hosts: list[str], answers_missing: int
 ) -> load_query.LoadQuery:
-    """Return a flow that waits since 100.0."""
+    """Return the query of a flow that has waited since 100.0."""
     hint = hints.Hint('d', hints.HintState.OPENING)
     return load_query.LoadQuery(
         opening(number),
@@ -51,7 +51,7 @@
 
 
 def test_nobody_is_asked_who_told_a_moment_ago() -> None:
-    """Two fresh reports are enough; with one, the others are asked."""
+    """Two recent reports are enough; with one, the others are queried."""
     fresh, old = load_query.FRESH_S / 2, 10 * load_query.FRESH_S
     group = [candidate(1, fresh), candidate(2, fresh), candidate(3, None)]
     assert not load_query.candidates_to_query(group)
@@ -61,7 +61,7 @@
 
 
 def test_two_answers_are_enough() -> None:
-    """A flow goes on with the second answer, whoever else is silent."""
+    """A flow is placed with the second answer, although others are silent."""
     flows = load_query.LoadQueries()
     flows.add(waiting(1, ['10.0.1.1', '10.0.1.2', '10.0.1.3'], 2))
     assert not flows.answered('10.0.1.3')
@@ -83,13 +83,12 @@
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_a_dead_candidate_costs_its_caller_little(seed: int) -> None:
-    """Openings to an instance that has just died wait for their copies.
+    """Guards against openings that are sent to an instance that has just died.
 
-    Symptom: for a second after a crash one order in 25 takes 0.2 s more.
-    Events: two of ten instances die; 200 orders follow within a second.
-    Cause: a balancer counted an instance as alive until its heartbeats were
-    missed for 1.3 s, or an opening was repeated. Before, 8 or 9 of the 200
-    took over 0.2 s; now 1.
+    Two of ten instances die, and 200 orders follow within a second. When a
+    balancer assumed an instance alive until its heartbeats timed out after 1.3
+    s, or until an opening was repeated, 8 or 9 of the 200 orders took over 0.2
+    s; now 1 does.
     """
     world = packet_world.small_world(servers=10, seed=seed)
     world.run(1.0)
@@ -106,7 +105,7 @@
 
 
 def test_old_loads_are_better_than_none() -> None:
-    """Without bytes for questions, flows are placed by what is known."""
+    """Without bytes for queries, flows are placed by the last reports."""
     world = packet_world.small_world(servers=6)
     for process in world.balancers():
         process.node.budget.spend(control_budget.Purpose.QUESTION, 10**6)
@@ -121,7 +120,7 @@
 
 
 def test_questions_do_not_grow_with_the_targets() -> None:
-    """An order costs three questions at most among 10 targets and 100."""
+    """An order causes at most three queries, with 10 targets and with 100."""
     chance = random.Random(1)
     for servers in (10, 100):
         world = packet_world.small_world(servers=servers, balancers=4)
--- a/tests/packets/test_mesh.py
+++ b/tests/packets/test_mesh.py
@@ -1,4 +1,4 @@
-"""Test whom a process tells of itself, and what it makes of silence."""
+"""Test which processes get heartbeats, and how silence is detected."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def heartbeat(*, is_balancer: bool = True) -> control.Heartbeat:
-    """Return what a process says that has nothing to say."""
+    """Return a heartbeat without load, names or holdings."""
     return control.Heartbeat(is_balancer, 1, False, 5, 0, False, None, b'')
 
 
 def agents_mesh() -> mesh.Mesh:
-    """Return what an agent knows that has heard all balancers at 100.0."""
+    """Return an agent's mesh with a heartbeat of each balancer at 100.0."""
     item = mesh.Mesh(
         '10.0.1.1',
         is_balancer=False,
@@ -31,8 +31,10 @@
     return item
 
 
-def told(item: mesh.Mesh, now: float, *, all_balancers: bool) -> list[str]:
-    """Return who is told in a round, and note it."""
+def send_round(
+    item: mesh.Mesh, now: float, *, all_balancers: bool
+) -> list[str]:
+    """Send the heartbeats of one round; return the hosts they go to."""
     peers = item.heartbeats_due(now, all_balancers=all_balancers)
     for peer in peers:
         peer.note_heartbeat_sent(now)
@@ -40,53 +42,53 @@
 
 
 def test_an_agent_reports_to_the_same_few() -> None:
-    """Four balancers are told in each round, as long as they answer."""
+    """The same four balancers get each report, as long as they answer."""
     item = agents_mesh()
-    first = told(item, 101.0, all_balancers=False)
+    first = send_round(item, 101.0, all_balancers=False)
     assert len(first) == mesh.BALANCERS_PER_AGENT
-    assert told(item, 101.5, all_balancers=False) == first
+    assert send_round(item, 101.5, all_balancers=False) == first
 
 
 def test_a_balancer_that_does_not_answer_is_replaced() -> None:
     """An agent whose balancers have died reports to others."""
     item = agents_mesh()
-    first = told(item, 101.0, all_balancers=False)
+    first = send_round(item, 101.0, all_balancers=False)
     for host in first[1:]:
         item.record_heartbeat(host, heartbeat(), 102.5)
-    second = told(item, 102.6, all_balancers=False)
+    second = send_round(item, 102.6, all_balancers=False)
     assert first[0] not in second
     assert set(first[1:]) < set(second)
 
 
 @pytest.mark.parametrize('rounds', [5])
 def test_news_for_everybody_stops_no_report(rounds: int) -> None:
-    """An agent that tells all balancers loses those that it reports to.
+    """Guards against an agent that stops its regular reports.
 
-    Symptom: an agent whose entry has expired hears of no change for a while.
-    Events: it tells twelve of 40 balancers in each round, in turn.
-    Cause: the four that it reports to had their turn after 1.6 s, and took it
-    for gone after 1.5 s.
+    An agent whose entry has expired reports to all balancers: to twelve of 40
+    in each round, in turn. When the four that it reports to regularly had to
+    wait for their turn, 1.6 s, they took it for gone after 1.5 s and it
+    received no changes for a while.
     """
     item = agents_mesh()
-    first = told(item, 101.0, all_balancers=False)
+    first = send_round(item, 101.0, all_balancers=False)
     seen: set[str] = set()
     for number in range(rounds):
         now = 101.5 + 1.1 * mesh.ROUND_S * number
         for host in BALANCERS:
             item.record_heartbeat(host, heartbeat(), now)
-        hosts = told(item, now, all_balancers=True)
+        hosts = send_round(item, now, all_balancers=True)
         assert set(first) <= set(hosts)
         seen.update(hosts)
     assert seen == set(BALANCERS)
 
 
 def test_a_pause_makes_no_old_word_new() -> None:
-    """After a pause a balancer trusts what an agent told long ago.
+    """Guards against old reports that count as new after a pause.
 
-    Symptom: a flow is reset that its server holds.
-    Events: an agent was heard 20 s before a pause of 2 s; since then it holds
-    flows of a route that now goes elsewhere.
-    Cause: all processes counted as heard just now after a pause.
+    A balancer received a heartbeat of an agent 20 s before a pause of 2 s;
+    since then the agent has accepted flows of a route that has moved. When the
+    pause made all heartbeats count as new, the balancer relied on the old
+    report and reset a flow that the server held.
     """
     item = mesh.Mesh(
         BALANCERS[0],
@@ -103,9 +105,10 @@
 
 
 def test_a_round_is_bounded() -> None:
-    """A balancer tells twelve others and one agent in a round, of any number.
+    """A round has at most twelve heartbeats and one contacted agent.
 
-    Those that were told longest ago come first, so that all have a turn.
+    Balancers whose last heartbeat is oldest come first, so that all get a
+    turn.
     """
     item = mesh.Mesh(
         '10.0.9.9',
@@ -119,7 +122,7 @@
     item.update_agents({f'10.0.1.{n + 1}' for n in range(200)}, 100.0)
     seen: set[str] = set()
     for number in range(4):
-        hosts = told(item, 101.0 + 0.5 * number, all_balancers=False)
+        hosts = send_round(item, 101.0 + 0.5 * number, all_balancers=False)
         assert len(hosts) <= mesh.FAN_OUT + mesh.DISCOVERY_PER_ROUND
         seen.update(hosts)
     assert seen > set(BALANCERS)
--- a/tests/packets/test_placing.py
+++ b/tests/packets/test_placing.py
@@ -1,4 +1,4 @@
-"""Test where new flows go, by playing loads."""
+"""Test the placement of new flows, by simulation."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def candidate(
     number: int, present: int = 0, *, warming: bool = False
 ) -> placing.Candidate:
-    """Return a target with some requests."""
+    """Return a candidate with some requests."""
     reported = load.Load(
         min(2, present), max(0, present - 2), 2, present, float(present), True
     )
@@ -47,10 +47,10 @@
 def waits(
     *, by_load: bool, per_s: float, seed: int, report_s: float = 0.1
 ) -> list[float]:
-    """Play flows of one request at seven targets; return how each waited.
+    """Simulate flows of one request at seven targets; return their waits.
 
-    :param by_load: by reports that are ``report_s`` old at most; else by rank
-        alone, as a hash does.
+    :param by_load: whether to place by reports that are ``report_s`` old at
+        most; otherwise by rank alone, as a hash does.
     """
     chance = random.Random(seed)
     free_at = {number: [0.0, 0.0] for number in range(7)}
@@ -97,10 +97,11 @@
 @pytest.mark.parametrize('seed', [1, 2, 3])
 @pytest.mark.parametrize('share', [0.45, 0.7])
 def test_load_beats_a_hash(share: float, seed: int) -> None:
-    """A hash lets requests wait at one target while another is idle.
+    """Placement by load halves the mean wait, compared with a hash.
 
-    Events: flows of one request at 45 and 70 % of the capacity of seven
-    targets with two slots, 30 ms each.
+    Flows of one request take 45 and 70 % of the capacity of seven targets with
+    two slots, 30 ms each. With a hash, requests wait at one target while
+    another is idle.
     """
     per_s = share * 7 * 2 / 0.03
     placed = waits(by_load=True, per_s=per_s, seed=seed)
@@ -109,7 +110,7 @@
 
 
 def test_all_are_looked_at_when_the_first_are_loaded() -> None:
-    """An idle target is found though a flow's candidates are loaded."""
+    """An idle target is found although a flow's candidates are loaded."""
     number = next(
         n
         for n in range(1000)
@@ -129,7 +130,7 @@
 
 
 def test_bulky_flows_stay_in_their_data_centre() -> None:
-    """Uploads cross to another data centre only when home is loaded."""
+    """Uploads go to another data centre only when their own is loaded."""
     idle = [candidate(item) for item in range(9)]
     for number in range(50):
         chosen = placing.choose(
@@ -145,14 +146,14 @@
 
 
 def test_a_target_that_warms_up_gets_less() -> None:
-    """Of two with one request each, the warm one is taken."""
+    """Of two targets with one request each, the warm one is chosen."""
     pair = [candidate(0, 1, warming=True), candidate(3, 1)]
     chosen = placing.choose(flow(1), pair, data_centre='north', bulky=False)
     assert chosen is not None and chosen.target.identifier == 'i-3'
 
 
 def test_no_target_is_no_place() -> None:
-    """Without candidates there is no answer."""
+    """Without candidates no target is chosen."""
     assert (
         placing.choose(flow(1), [], data_centre='north', bulky=False) is None
     )
--- a/tests/packets/test_ranking.py
+++ b/tests/packets/test_ranking.py
@@ -1,4 +1,4 @@
-"""Test the first targets of each bucket of flows."""
+"""Test the cache of rank orders."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from teaseldock.packets import ranking
 from teaseldock.packets import records
 
-#: Targets of one service, and the flows that are ranked.
+#: Number of targets of one service, and of flows that are ranked.
 TARGETS = 109
 FLOWS = 4000
 
@@ -36,7 +36,7 @@
 
 
 def test_the_first_are_those_of_the_whole_order() -> None:
-    """A kept order is the beginning of the order that searches follow."""
+    """A cached order is the beginning of the order that searches follow."""
     targets = [target(number) for number in range(TARGETS)]
     orders = ranking.RankingCache()
     for number in range(50):
@@ -47,11 +47,10 @@
 
 
 def test_a_flow_ranks_no_targets(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Placing a flow costs ten times as much before ten times the targets.
+    """Guards against flows whose cost grows with the number of targets.
 
-    Symptom: a balancer spends 160 us on each new flow before 109 targets, and
-    10 ms before 7,000.
-    Cause: all targets were ranked for each flow, three times.
+    When all targets were ranked three times for each flow, a new flow took 160
+    us of a balancer with 109 targets, and 10 ms with 7,000.
     """
     ranked = []
     rank = placing._rank_in
@@ -70,7 +69,7 @@
 
 
 def test_first_places_are_spread() -> None:
-    """No target is among the first candidates of many more flows."""
+    """The first candidates are spread evenly over the targets."""
     targets = [target(number) for number in range(TARGETS)]
     orders = ranking.RankingCache()
     shares: collections.Counter[str] = collections.Counter()
@@ -84,7 +83,7 @@
 
 
 def test_a_new_target_moves_few_flows() -> None:
-    """Searches by balancers that have not heard of it begin alike."""
+    """A new target changes where few searches begin."""
     targets = [target(number) for number in range(TARGETS)]
     before = ranking.RankingCache()
     after = ranking.RankingCache()
--- a/tests/packets/test_warming.py
+++ b/tests/packets/test_warming.py
@@ -11,11 +11,11 @@
 from teaseldock.packets import records
 from teaseldock.packets import warming
 
-#: What operators tolerate beyond the limit: a factor and a number.
+#: Excess over the limit that operators tolerate: a factor and a number.
 OVERSHOOT = 1.5
 SLACK = 5
 WARMUP_MS = 2000
-#: Orders a second that the tests send.
+#: Orders per second that the tests send.
 RATE = 60.0
 
 
@@ -27,7 +27,7 @@
 def cold_world(
     requests_per_s: float, *, servers: int = 8, balancers: int = 3
 ) -> packet_world.World:
-    """Return a fleet whose servers have all just started, cold."""
+    """Return a simulation whose servers have all just started, cold."""
     world = packet_world.World(balancers=balancers)
     world.store.configure(
         1,
@@ -46,7 +46,7 @@
 
 
 def make_cold(world: packet_world.World, server: object) -> None:
-    """Let a server's entry say that it is cold."""
+    """Write an entry that says that the server is cold."""
     server.warmup_ms = WARMUP_MS
     world.store.put(server)
 
@@ -54,7 +54,7 @@
 def send(
     world: packet_world.World, seconds: float, rate: float = RATE
 ) -> list:
-    """Let callers send orders."""
+    """Send orders for some seconds."""
     orders = []
     for _ in range(int(seconds * rate)):
         orders.append(world.request(tries=1))
@@ -65,7 +65,7 @@
 def most_in_a_second(
     world: packet_world.World, since: float, until: float
 ) -> int:
-    """Return the most flows that opened at one server within a second."""
+    """Return the most flows that opened at any server within a second."""
     most = 0
     for server in world.servers.values():
         first: dict[bytes, float] = {}
@@ -80,13 +80,13 @@
 
 
 def test_cold_servers_of_a_release_are_spared() -> None:
-    """A cold server drowns in new flows from many balancers.
+    """Guards against a cold server that many balancers overload.
 
-    Symptom: a server that has just started gets more requests in a second
-    than its operator allows, and answers all of them late.
-    Events: all servers of a service are replaced at once; three balancers
-    that don't hear each other place 60 orders a second.
-    Cause: balancers weigh a cold server as partly busy, each by itself.
+    All servers of a service are replaced at once, and three balancers without
+    contact to each other place 60 orders a second. When each balancer by
+    itself only counted a cold server as partly busy, the server got more
+    requests in a second than its operator allows, and answered all of them
+    late.
     """
     world = cold_world(8.0)
     hosts = [process.host for process in world.balancers()]
@@ -99,10 +99,10 @@
 
 
 def test_what_nobody_may_take_is_refused_at_once() -> None:
-    """Callers wait for cold servers that may not take them.
+    """Orders beyond the limits of all servers are refused at once.
 
-    Events: all servers are cold and bear 16 orders a second together; 60 come.
-    The rest is refused at once, and nothing of it runs.
+    All servers are cold and allow 16 orders a second together; 60 arrive.
+    Callers must not wait for the rest, and none of the refused orders may run.
     """
     world = cold_world(2.0)
     since = world.now
@@ -117,10 +117,10 @@
 
 
 def test_a_restarted_agent_keeps_to_the_limit() -> None:
-    """An agent that has forgotten what it let through lets it through again.
+    """Guards against an agent whose restart allows the whole limit again.
 
-    Events: a cold server gets its share; its agent is killed and starts again
-    within the second.
+    A cold server gets its share; its agent is killed and restarts within the
+    second, without a record of what it has let through.
     """
     world = cold_world(40.0, servers=1)
     since = world.now
@@ -134,13 +134,11 @@
 
 
 def test_a_data_centre_comes_back_cold() -> None:
-    """Servers that come back cold get all flows before they say so.
+    """Guards against a burst to a data centre that returns to service.
 
-    Symptom: the limit is broken in the first second after a data centre is
-    taken back.
-    Events: the only data centre is evacuated and taken back; its servers
-    are cold, and write that a heartbeat later.
-    Cause: their old entries say that they are warm.
+    The only data centre is evacuated and returns. Its servers are cold, but
+    their old entries say that they are warm until the next heartbeat. The
+    limit was exceeded in the first second.
     """
     world = packet_world.World(balancers=3)
     world.store.configure(
@@ -164,10 +162,10 @@
 
 
 def test_requests_of_open_flows_wait_for_a_cold_server() -> None:
-    """Open feeds ask a server that has got cold, all at one moment.
+    """Requests of open feeds that exceed the limit wait for their turn.
 
-    Events: 30 feeds are open at a server; it gets cold, with a limit of 8 a
-    second; all ask at once. What is beyond waits for its turn.
+    30 feeds are open at a server that becomes cold, with a limit of 8 a
+    second; all send a request at once.
     """
     world = packet_world.World(balancers=2)
     world.store.configure(
@@ -191,7 +189,7 @@
 
 
 def test_no_limit_is_no_limit() -> None:
-    """A service without a limit gets what comes, cold or not."""
+    """A service without a limit receives all orders, cold or not."""
     world = cold_world(0.0)
     world.store.configure(2, [packet_world.route('dispatch')])
     world.run(0.5)
@@ -207,7 +205,7 @@
 def test_any_second_keeps_to_the_limit(
     pauses: list[float], allowed: float
 ) -> None:
-    """Whatever the moments, no span of a second holds more than allowed."""
+    """Whatever the times, no interval of a second exceeds the limit."""
     state = warming.ColdLimiter(0.0)
     state.set_limit(records.ColdLimit('dispatch', 60_000, allowed))
     state.assume_cold(0.0)
--- a/tests/test_packet_bound.py
+++ b/tests/test_packet_bound.py
@@ -1,4 +1,4 @@
-"""Test the bound on what decisions can earn around a loss of power."""
+"""Test the bound on the score of decisions around a loss of power."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def worth(
     kinds: list[packet_bound.Requests], *, start: float, length_s: float = 1.0
 ) -> float:
-    """Return what a window can earn."""
+    """Return the highest score of a window."""
     return packet_bound.window_worth(
         kinds,
         LOSS,
@@ -28,17 +28,17 @@
 
 
 def test_nothing_is_lost_before_the_loss() -> None:
-    """Requests that are answered before power goes earn all."""
+    """Requests that are answered before the loss score fully."""
     assert worth([FEED, ORDER], start=8.0) == 1.0
 
 
 def test_feeds_of_the_dead_time_are_late() -> None:
-    """What is asked while nothing runs is answered, but late."""
+    """Requests that are sent while nothing runs are answered late."""
     assert worth([FEED], start=10.0, length_s=0.5) == pytest.approx(0.1)
 
 
 def test_orders_over_lost_flows_are_lost() -> None:
-    """The first order on each flow finds its server gone; later ones don't."""
+    """Only the first order on each flow fails, since its server is gone."""
     assert worth([ORDER], start=10.0, length_s=0.9) == 0.0
     assert 0.0 < worth([ORDER], start=11.0) < worth([ORDER], start=14.0) < 1.0
 
@@ -46,7 +46,7 @@
 def test_the_command_prints_each_window(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Windows are counted from 0, the first is the one of the loss."""
+    """Windows are printed from 0, the window of the loss."""
     kinds = ['100:1:0.1:0.3:0.05', '50:2:0.2:0.3:0.05:guarded']
     assert not packet_bound.main(['--loss=10.5', '--back=11.5', *kinds])
     bounds = json.loads(capsys.readouterr().out)
