--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -32,7 +32,7 @@
 #: queried, and their number. A balancer that no agent reports to must detect
 #: whether it is cut off.
 QUIET_S = 0.5
-ASKED_WHEN_QUIET = 3
+QUERIED_WHEN_QUIET = 3
 _SHARE_KEY = b'teaseldock-share'
 
 
@@ -65,7 +65,7 @@
             meters=self._meters,
         )
         self._load_queries = load_query.LoadQueries()
-        self._vanished: set[tuple[str, int]] = set()
+        self._removed: set[tuple[str, int]] = set()
         self._agent_heard_at = 0.0
         self._queried_quiet_at = 0.0
         self._early_packets: collections.deque[tuple[packet.Packet, float]] = (
@@ -99,23 +99,23 @@
 
     def _on_store_change(self, now: float) -> None:
         self._targets.refresh(now)
-        self._query_vanished(now)
+        self._query_removed_targets(now)
         self._process_early(now)
 
-    def _query_vanished(self, now: float) -> None:
+    def _query_removed_targets(self, now: float) -> None:
         """Query the agents whose entries have just been removed.
 
         Entries may expire because the store is unreachable. The flows of such
         a server are still open, and would be reset if its agent counted as
         gone.
         """
-        vanished = {
+        removed = {
             item.target.run: item.target.host
             for item in self._knowledge.recently_removed(now)
         }
-        for run in vanished.keys() - self._vanished:
-            self._query_load(vanished[run], now)
-        self._vanished = set(vanished)
+        for run in removed.keys() - self._removed:
+            self._query_load(removed[run], now)
+        self._removed = set(removed)
 
     def _query_load(self, host: str, now: float) -> None:
         """Query an agent for the load of its server."""
@@ -150,7 +150,7 @@
         hosts = sorted(
             {item.host for item in self._knowledge.targets.values()}
         )
-        count = min(ASKED_WHEN_QUIET, len(hosts))
+        count = min(QUERIED_WHEN_QUIET, len(hosts))
         for host in self._random.sample(hosts, count):
             self._query_load(host, now)
 
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -168,10 +168,10 @@
         near = self.preferred_data_centre(flow)
         targets = self._knowledge.placeable(service)
         first = self._placeable_orders.first(flow, service, targets, near=near)
-        lapsed = self._recently_expired(service, now)
-        if lapsed:
+        expired = self._recently_expired(service, now)
+        if expired:
             first = placing.ranked(
-                flow, first + lapsed, near=near, count=ranking.CACHED_TARGETS
+                flow, first + expired, near=near, count=ranking.CACHED_TARGETS
             )
         return [item for item in first if not self.is_silent(item, now)]
 
@@ -205,10 +205,10 @@
         if peer is not None and peer.heard_at is not None:
             reported_at = peer.heard_at
         placed = self._placed.get(target.run, ())
-        shown = reported_at - placing.UNREPORTED_S
+        reported_until = reported_at - placing.UNREPORTED_S
         warm_time = self._warm_at.get(target.run)
         age_s = now - reported_at
-        unreported = sum(1 for at in placed if at > shown)
+        unreported = sum(1 for at in placed if at > reported_until)
         if age_s > load_query.FRESH_S:
             # All balancers see the same old reports and choose the same least
             # loaded target. When each counted its own placements only, each of
--- a/packages/teaseldock/teaseldock/packets/control_budget.py
+++ b/packages/teaseldock/teaseldock/packets/control_budget.py
@@ -110,22 +110,22 @@
         """
         self._slim = link_mbps < MIN_READER_LINK_MBPS
         link_share = LINK_SHARE * link_mbps * _BYTES_PER_MEGABIT
-        whole = Share(
+        total = Share(
             min(BYTES_PER_S, link_share),
             min(BURST_BYTES, LINK_BURST_S * link_share),
         )
         self._shares = {
             purpose: _Bucket(
-                share.bytes_per_s * whole.bytes_per_s / BYTES_PER_S,
-                share.burst_bytes * whole.burst_bytes / BURST_BYTES,
+                share.bytes_per_s * total.bytes_per_s / BYTES_PER_S,
+                share.burst_bytes * total.burst_bytes / BURST_BYTES,
             )
             for purpose, share in SHARES.items()
         }
-        kept = sum(share.burst_bytes for share in SHARES.values())
-        kept_per_s = sum(share.bytes_per_s for share in SHARES.values())
-        self._burst = whole.burst_bytes * (1 - kept / BURST_BYTES)
+        reserved = sum(share.burst_bytes for share in SHARES.values())
+        reserved_per_s = sum(share.bytes_per_s for share in SHARES.values())
+        self._burst = total.burst_bytes * (1 - reserved / BURST_BYTES)
         self._general = _Bucket(
-            whole.bytes_per_s * (1 - kept_per_s / BYTES_PER_S), self._burst
+            total.bytes_per_s * (1 - reserved_per_s / BYTES_PER_S), self._burst
         )
         self._searches = _Bucket(
             min(SEARCH_BYTES_PER_S, link_share),
--- a/packages/teaseldock/teaseldock/packets/load_query.py
+++ b/packages/teaseldock/teaseldock/packets/load_query.py
@@ -84,7 +84,7 @@
         self.group = group
         self.answers_missing = answers_missing
         self._unanswered = set(hosts)
-        self._began = now
+        self._started_at = now
 
     def answer(self, host: str) -> bool:
         """Record an answer; tell whether the flow can be placed."""
@@ -96,7 +96,7 @@
 
     def overdue(self, now: float) -> bool:
         """Tell whether the time to wait for answers is over."""
-        return now - self._began >= ANSWER_WAIT_S
+        return now - self._started_at >= ANSWER_WAIT_S
 
 
 class LoadQueries:
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -341,9 +341,11 @@
             )
         # A single lost answer must not use up the whole time in which a change
         # must be in force.
-        probes = first and not self._readers.store_unreachable(now)
-        probes = probes or self._readers.is_prober(now, leaving=self._leaving)
-        self._reading.failed(now, is_prober=probes)
+        as_prober = first and not self._readers.store_unreachable(now)
+        as_prober = as_prober or self._readers.is_prober(
+            now, leaving=self._leaving
+        )
+        self._reading.failed(now, is_prober=as_prober)
 
     def entry_refused(self, problem: str) -> None:
         """Record an entry of the store that could not be read."""
@@ -356,7 +358,7 @@
         before = self._knowledge.version
         known = self._knowledge.content_revision
         upto = self._knowledge.revision
-        fresh = self._knowledge.apply(changes, now)
+        changed = self._knowledge.apply(changes, now)
         self._report_era(upto, source)
         if not changes.since:
             self._full_read_at = now
@@ -365,12 +367,12 @@
         if source == SOURCE_STORE:
             # A full read is as fresh as its first page; later pages do not
             # cover changes that came while they were read.
-            whole = not changes.since
-            at = self._call_started_at if whole else now
+            full_read = not changes.since
+            at = self._call_started_at if full_read else now
             self._alerts_freshness.record_answer(at)
             self._version_freshness.record_answer(at)
         self._update_freshness()
-        if not fresh:
+        if not changed:
             return False
         self._reporter.note(
             'changes in force',
@@ -419,9 +421,9 @@
     def _apply_alerts(
         self, alerts: records.Alerts, source: str, now: float
     ) -> None:
-        fresh = self._knowledge.apply_alerts(alerts, now)
+        changed = self._knowledge.apply_alerts(alerts, now)
         self._update_freshness()
-        if not fresh:
+        if not changed:
             return
         self._reporter.note(
             'alerts in force',
--- a/packages/teaseldock/teaseldock/packets/warming.py
+++ b/packages/teaseldock/teaseldock/packets/warming.py
@@ -51,7 +51,7 @@
 
     def __init__(self, now: float) -> None:
         """Create a limiter that assumes a warm server."""
-        self._began = now
+        self._started_at = now
         self._revision = 0
         self._cold_until = now
         self._limit: records.ColdLimit | None = None
@@ -84,22 +84,22 @@
         """Tell whether the server is cold."""
         return now < self._cold_until
 
-    def _room(self, window: Window, now: float) -> int | None:
+    def _remaining(self, window: Window, now: float) -> int | None:
         if self._limit is None or not self.is_cold(now):
             return None
         allowed = self._limit.requests_per_s
-        if now - self._began < WINDOW_S:
+        if now - self._started_at < WINDOW_S:
             allowed *= RESTART_SHARE
         # Even with a limit below one per second the server takes one.
         return max(0, max(1, math.floor(allowed)) - window.count(now))
 
     def openings_left(self, now: float) -> int | None:
         """Return how many more flows may open now; None for no limit."""
-        return self._room(self._openings, now)
+        return self._remaining(self._openings, now)
 
     def requests_left(self, now: float) -> int | None:
         """Return how many more requests may begin now; None for no limit."""
-        return self._room(self._requests, now)
+        return self._remaining(self._requests, now)
 
     def note_opening(self, now: float) -> None:
         """Record an opening that goes to the server."""
--- a/tests/packets/test_candidates.py
+++ b/tests/packets/test_candidates.py
@@ -66,12 +66,12 @@
 
     A server without feeds joins 24 servers that hold 67 each. It looks idle to
     all 16 balancers, whose reports are 0.2 s old, and it is slow because it is
-    cold. Feeds counted as load, so that the other candidates of a flow were
-    not chosen, and each balancer counted only its own placements. For each
-    server that a release replaced, a hundred requests waited for up to three
-    seconds while other servers had free slots. In this simulation, 33 to 44 of
-    some 430 orders were late in these 3 s, with 15 to 25 requests at the new
-    server.
+    cold. Feeds counted as load, so that the other ones of a flow's four
+    candidates were not chosen, and each balancer counted only its own
+    placements. For each server that a release replaced, a hundred requests
+    waited for up to three seconds while other servers had free slots. In this
+    simulation, 33 to 44 of some 430 orders were late in these 3 s, with 15 to
+    25 requests at the new server.
     """
     load = Load(seed, slots=2, service_s=0.07, feeds=1600, orders_per_s=150.0)
     fresh = '10.0.2.1'
@@ -158,7 +158,7 @@
     assert not avoided(world, host)
 
 
-def test_a_suspect_that_answers_is_none() -> None:
+def test_a_suspicion_is_cleared() -> None:
     """Guards against suspicions that remain after a lost packet.
 
     An opening is lost, and its copy makes its target suspect. Only a heartbeat
--- a/tests/packets/test_control_budget.py
+++ b/tests/packets/test_control_budget.py
@@ -29,7 +29,7 @@
 
 
 def test_a_slim_link_keeps_room_for_callers() -> None:
-    """On 2 Mbit/s a burst takes at most an eighth of a second of the link."""
+    """The burst on 2 Mbit/s fits into a sixteenth of a second of the link."""
     budget = control_budget.ControlBudget(2.0)
     sent = 0
     while budget.allows(Purpose.CHANGES, 100.0):
--- a/tests/packets/test_inquiry.py
+++ b/tests/packets/test_inquiry.py
@@ -50,7 +50,7 @@
     )
 
 
-def test_nobody_is_asked_who_told_a_moment_ago() -> None:
+def test_recent_reports_need_no_query() -> None:
     """Two recent reports are enough; with one, the others are queried."""
     fresh, old = load_query.FRESH_S / 2, 10 * load_query.FRESH_S
     group = [candidate(1, fresh), candidate(2, fresh), candidate(3, None)]
@@ -87,8 +87,8 @@
 
     Two of ten instances die, and 200 orders follow within a second. When a
     balancer assumed an instance alive until its heartbeats timed out after 1.3
-    s, or until an opening was repeated, 8 or 9 of the 200 orders took over 0.2
-    s; now 1 does.
+    s, or until an opening was repeated, one order in 25 took 0.2 s more for a
+    second: 8 or 9 of the 200, now 1.
     """
     world = packet_world.small_world(servers=10, seed=seed)
     world.run(1.0)
--- a/tests/packets/test_mesh.py
+++ b/tests/packets/test_mesh.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize('rounds', [5])
-def test_news_for_everybody_stops_no_report(rounds: int) -> None:
+def test_reports_to_all_balancers_keep_regular_reports(rounds: int) -> None:
     """Guards against an agent that stops its regular reports.
 
     An agent whose entry has expired reports to all balancers: to twelve of 40
@@ -82,7 +82,7 @@
     assert seen == set(BALANCERS)
 
 
-def test_a_pause_makes_no_old_word_new() -> None:
+def test_a_pause_does_not_renew_old_reports() -> None:
     """Guards against old reports that count as new after a pause.
 
     A balancer received a heartbeat of an agent 20 s before a pause of 2 s;
--- a/tests/packets/test_placing.py
+++ b/tests/packets/test_placing.py
@@ -152,7 +152,7 @@
     assert chosen is not None and chosen.target.identifier == 'i-3'
 
 
-def test_no_target_is_no_place() -> None:
+def test_no_candidates_give_no_target() -> None:
     """Without candidates no target is chosen."""
     assert (
         placing.choose(flow(1), [], data_centre='north', bulky=False) is None
--- a/tests/packets/test_warming.py
+++ b/tests/packets/test_warming.py
@@ -98,7 +98,7 @@
     assert all(order.outcome == 'answered' for order in orders)
 
 
-def test_what_nobody_may_take_is_refused_at_once() -> None:
+def test_orders_beyond_all_limits_are_refused_at_once() -> None:
     """Orders beyond the limits of all servers are refused at once.
 
     All servers are cold and allow 16 orders a second together; 60 arrive.
