--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,3 +1,3 @@
-"""Run the real programs under faults, and check what callers see."""
+"""Run the real programs under faults and check what callers observe."""
 
 from __future__ import annotations
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, and the fabric that spreads their packets."""
+"""Simulate callers, and the fabric that distributes their packets."""
 
 from __future__ import annotations
 
@@ -13,59 +13,71 @@
 from soak import network
 from soak import servers
 
-#: Seconds between two looks of the fabric at a balancer; two misses take it
-#: out.
-_LOOK_S = 0.5
+#: Seconds between two health checks of a balancer, and time-out of a check. A
+#: balancer that fails two checks in a row gets no packets.
+_HEALTH_CHECK_S = 0.5
+#: Seconds from the first SYN to each repetition, and to giving up.
 _OPENING_COPIES_S = (0.2, 0.6)
 _OPENING_S = 1.4
+#: Seconds that a copy of a request waits for an answer before the next copy;
+#: the first item is unused.
 _REPEATS_S = (0.0, 0.2, 0.6, 1.4)
 _DEADLINE_S = 3.0
 _TRIES = 3
 
 
 class Fabric:
-    """Pass callers' packets to balancers that are ready."""
+    """Forward callers' packets to healthy balancers."""
 
     def __init__(self, hosts: list[str], randomness: random.Random) -> None:
-        """Start with all in rotation."""
+        """Create a fabric in which all balancers count as healthy."""
         self.loss = 0.0
-        self._misses = dict.fromkeys(hosts, 0)
+        self._failed_checks = dict.fromkeys(hosts, 0)
         self._random = randomness
         self._client = httpclient.AsyncHTTPClient(force_instance=True)
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the health checks."""
         self._tasks = [
-            asyncio.create_task(self._look(host)) for host in self._misses
+            asyncio.create_task(self._check_health(host))
+            for host in self._failed_checks
         ]
 
     def close(self) -> None:
-        """Stop looking."""
+        """Stop the health checks."""
         for task in self._tasks:
             task.cancel()
         self._client.close()
 
-    async def _look(self, host: str) -> None:
+    async def _check_health(self, host: str) -> None:
         url = f'http://{host}:{network.READY_PORT}/api/ready'
         while True:
             try:
-                await self._client.fetch(url, request_timeout=_LOOK_S)
-                self._misses[host] = 0
+                await self._client.fetch(url, request_timeout=_HEALTH_CHECK_S)
+                self._failed_checks[host] = 0
             except (OSError, httpclient.HTTPError):
-                self._misses[host] += 1
-            await asyncio.sleep(_LOOK_S)
-
-    def pick(self, flow: network.Flow) -> str | None:
-        """Return where a packet goes, or None if it is lost."""
-        hosts = [host for host, misses in self._misses.items() if misses < 2]
+                self._failed_checks[host] += 1
+            await asyncio.sleep(_HEALTH_CHECK_S)
+
+    def choose_balancer(self, flow: network.Flow) -> str | None:
+        """Return the balancer for a packet, or None if the packet is lost."""
+        hosts = [
+            host
+            for host, failures in self._failed_checks.items()
+            if failures < 2
+        ]
         if not hosts or self._random.random() < self.loss:
             return None
         return max(hosts, key=lambda host: hash((host, flow)))
 
 
-class Attempt(typing.NamedTuple):
-    """What a caller saw of one flow at one moment."""
+class Reset(typing.NamedTuple):
+    """A reset that a caller received.
+
+    :ivar at: steady clock, in seconds.
+    :ivar opened: whether the flow was open.
+    """
 
     at: float
     flow: network.Flow
@@ -73,18 +85,18 @@
 
 
 class Caller:
-    """One address from which many flows start."""
+    """A caller with one address and many flows."""
 
     def __init__(
         self, number: int, fabric: Fabric, randomness: random.Random
     ) -> None:
-        """Prepare; nothing is opened before :meth:`start`."""
+        """Create a caller; :meth:`start` opens its port."""
         self.address = network.host(3, number)
         self.requests: list[Request] = []
-        self.resets: list[Attempt] = []
+        self.resets: list[Reset] = []
         self.flows: dict[network.Flow, Request] = {}
         self.random = randomness
-        self._packed = bytes(map(int, self.address.split('.')))
+        self._packed_address = bytes(map(int, self.address.split('.')))
         self._fabric = fabric
         self._ports = itertools.count(1025)
         self._port: network.Port | None = None
@@ -92,7 +104,7 @@
     async def start(self) -> None:
         """Open the caller's port."""
         self._port = await network.open_port(
-            (self.address, network.PACKETS_PORT), self._take
+            (self.address, network.PACKETS_PORT), self._receive
         )
 
     def close(self) -> None:
@@ -101,47 +113,60 @@
             self._port.close()
 
     def new_flow(self, port: int) -> network.Flow:
-        """Return a flow that was never used."""
-        return network.Flow(self._packed, next(self._ports), port)
+        """Return an unused flow."""
+        return network.Flow(self._packed_address, next(self._ports), port)
 
     def send(self, flow: network.Flow, flags: int, **fields) -> None:
-        """Send a packet through the fabric."""
-        host = self._fabric.pick(flow)
+        """Send a packet through the fabric, which may lose it."""
+        host = self._fabric.choose_balancer(flow)
         if host is not None and self._port is not None:
             self._port.send(
                 network.from_caller(flow, flags, **fields),
                 (host, network.PACKETS_PORT),
             )
 
-    def _take(self, raw: bytes) -> None:
-        seen = network.read(raw, at_server=False)
-        request = self.flows.get(seen.flow)
+    def _receive(self, raw: bytes) -> None:
+        packet = network.parse(raw, at_server=False)
+        request = self.flows.get(packet.flow)
         if request is not None:
-            request.receive(seen)
+            request.receive(packet)
 
-    async def ask(self, port: int, *, guarded: bool, times: int) -> None:
-        """Send requests over one flow, one after the other."""
-        request = Request(self, port, guarded=guarded)
+    async def send_requests(
+        self, port: int, *, non_idempotent: bool, times: int
+    ) -> None:
+        """Send requests one after the other, over one flow if possible."""
+        request = Request(self, port, non_idempotent=non_idempotent)
         self.requests.append(request)
         for _ in range(times):
             await request.run()
             if not request.opened:
                 return
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
-        self.send(request.flow, network.FIN, acknowledged=request.server)
+        self.send(
+            request.flow, network.FIN, acknowledged=request.server_sequence
+        )
 
 
 class Request:
-    """The requests of one flow; each is tried again on a new flow."""
+    """The requests of one flow; a retry uses a new flow.
+
+    :ivar server_sequence: initial sequence number of the server.
+    :ivar answered: number of answered requests.
+    :ivar failed: start times of failed requests.
+    :ivar refused_ids: bodies of requests whose flow was reset before it
+        opened; such a request must not have run.
+    """
 
-    def __init__(self, caller: Caller, port: int, *, guarded: bool) -> None:
-        """Prepare."""
+    def __init__(
+        self, caller: Caller, port: int, *, non_idempotent: bool
+    ) -> None:
+        """Create a request; :meth:`run` sends it."""
         self.caller = caller
         self.port = port
-        self.guarded = guarded
+        self.non_idempotent = non_idempotent
         self.flow = caller.new_flow(port)
         self.opened = False
-        self.server = 0
+        self.server_sequence = 0
         self.answered = 0
         self.failed: list[float] = []
         self.refused_ids: list[bytes] = []
@@ -152,23 +177,23 @@
         self._done = False
 
     async def run(self) -> None:
-        """Send one request; try again where nothing can have run."""
-        mark = servers.GUARDED if self.guarded else b'F'
+        """Send a request; don't retry one that could run a second time."""
+        mark = servers.NON_IDEMPOTENT if self.non_idempotent else b'F'
         started = time.monotonic()
         self._done = False
         for _ in range(_TRIES):
             self._body = mark + self.caller.random.randbytes(8)
-            if await self._try(started):
+            if await self._attempt(started):
                 self.answered += 1
                 return
-            if self.guarded and self.opened:
+            if self.non_idempotent and self.opened:
                 break
             if time.monotonic() - started > _DEADLINE_S:
                 break
             self.opened = False
         self.failed.append(started)
 
-    async def _try(self, started: float) -> bool:
+    async def _attempt(self, started: float) -> bool:
         if not self.opened and not await self._open():
             return False
         self._reset = False
@@ -178,7 +203,7 @@
                 self.flow,
                 network.ACK,
                 sequence=self._sequence,
-                acknowledged=self.server,
+                acknowledged=self.server_sequence,
                 body=self._body,
             )
             if await self._wait(delay):
@@ -207,20 +232,20 @@
             return False
         return True
 
-    def receive(self, seen: network.Seen) -> None:
-        """Take a packet that came to the caller."""
-        if seen.flow != self.flow:
+    def receive(self, packet: network.Packet) -> None:
+        """Process a packet that the caller received."""
+        if packet.flow != self.flow:
             return
-        if seen.flags & network.RST:
+        if packet.flags & network.RST:
             self.caller.resets.append(
-                Attempt(time.monotonic(), seen.flow, self.opened)
+                Reset(time.monotonic(), packet.flow, self.opened)
             )
             self._reset = True
             self._event.set()
-        elif seen.flags & network.SYN and not self.opened:
+        elif packet.flags & network.SYN and not self.opened:
             self.opened = True
-            self.server = seen.sequence
+            self.server_sequence = packet.sequence
             self._event.set()
-        elif seen.body == self._body and seen.body:
+        elif packet.body == self._body and packet.body:
             self._done = True
             self._event.set()
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""Hold what callers and servers saw against the promises."""
+"""Check the records of callers and servers against the guarantees."""
 
 from __future__ import annotations
 
@@ -8,106 +8,128 @@
 from soak import servers
 from soak import world
 
-#: Seconds after which a leaving server gets no new flow, and a configuration
-#: is in force (the platform's bounds).
-BOUND_S = 3.0
-#: Seconds that a process or the store must have been undisturbed for the
-#: bounds to hold (the platform's, for what it calls in touch).
-CALM_S = 4.0
-#: Seconds by which an outage of the store may stretch a bound.
-STRETCH_S = 12.0
-#: Share of the requests of the calm at the end that must be answered.
-SERVED = 0.98
-
-
-def violations(played: world.World) -> list[str]:
-    """Return a line for each broken promise."""
-    found = [*_ran_twice(played), *_untrue(played), *_broken_flows(played)]
-    found += [*_openings(played), *_not_served(played), *_programs(played)]
+#: Seconds after which a leaving server gets no new flow and a configuration is
+#: in force (bounds that the platform sets).
+PROPAGATION_S = 3.0
+#: Seconds without a fault of a process or the store after which the bounds
+#: hold (the platform's limit for "in touch").
+UNDISTURBED_S = 4.0
+#: Seconds by which an outage of the store may extend a bound.
+OUTAGE_ALLOWANCE_S = 12.0
+#: Lower bound of answered requests; failed requests of the quiet time at the
+#: end may be at most the rest, as a share of all answered requests.
+MIN_ANSWERED_SHARE = 0.98
+
+
+def violations(finished: world.World) -> list[str]:
+    """Return a line for each violation of a guarantee."""
+    found = [
+        *_ran_twice(finished),
+        *_untrue_refusals(finished),
+        *_broken_flows(finished),
+    ]
+    found += [
+        *_wrong_openings(finished),
+        *_unanswered(finished),
+        *_program_errors(finished),
+    ]
     return found
 
 
-def _ran_twice(played: world.World) -> typing.Iterator[str]:
-    for name, count in played.journal.runs.items():
-        if count > 1 and name[:1] == servers.GUARDED:
+def _ran_twice(finished: world.World) -> typing.Iterator[str]:
+    for name, count in finished.journal.runs.items():
+        if count > 1 and name[:1] == servers.NON_IDEMPOTENT:
             yield f'ran twice: {name.hex()} ran {count} times'
 
 
-def _untrue(played: world.World) -> typing.Iterator[str]:
-    for caller in played.callers:
+def _untrue_refusals(finished: world.World) -> typing.Iterator[str]:
+    for caller in finished.callers:
         for request in caller.requests:
             for name in request.refused_ids:
-                if name in played.journal.runs:
+                if name in finished.journal.runs:
                     yield f'untrue refusal: {name.hex()} had run'
 
 
-def _broken_flows(played: world.World) -> typing.Iterator[str]:
-    for caller in played.callers:
-        for attempt in caller.resets:
+def _broken_flows(finished: world.World) -> typing.Iterator[str]:
+    for caller in finished.callers:
+        for reset in caller.resets:
             holder = [
                 server
-                for server in played.servers
-                if attempt.flow in server.flows
-                and attempt.at - server.disturbed_at > CALM_S
+                for server in finished.servers
+                if reset.flow in server.flows
+                and reset.at - server.disturbed_at > UNDISTURBED_S
             ]
-            if attempt.opened and holder:
+            if reset.opened and holder:
                 yield (
-                    f'broken flow: {attempt.flow} was reset at '
-                    f'{attempt.at:.3f}, held by {holder[0].host}'
+                    f'broken flow: {reset.flow} was reset at '
+                    f'{reset.at:.3f}, held by {holder[0].host}'
                 )
 
 
-def _openings(played: world.World) -> typing.Iterator[str]:
+def _wrong_openings(finished: world.World) -> typing.Iterator[str]:
     ports = {port: service for service, port in world.PORTS.items()}
-    stable = played.store_disturbed_at
-    for opening in played.journal.openings:
+    store_disturbed_at = finished.store_disturbed_at
+    for opening in finished.journal.openings:
         at, port = opening.at, opening.port
         if ports.get(port, 'dispatch') != opening.service:
             yield f'wrong service: port {port} opened at {opening.service}'
         since = opening.leaving_since
-        bound = BOUND_S if at - stable > CALM_S else BOUND_S + STRETCH_S
+        bound = (
+            PROPAGATION_S
+            if at - store_disturbed_at > UNDISTURBED_S
+            else PROPAGATION_S + OUTAGE_ALLOWANCE_S
+        )
         if since is not None and at - since > bound:
-            yield f'leaving: {opening.host} got a flow {at - since:.1f} s late'
-        evacuated_at = _evacuated_at(played, opening)
+            yield (
+                f'leaving: {opening.host} got a flow '
+                f'after {at - since:.1f} s'
+            )
+        evacuated_at = _evacuated_at(finished, opening)
         if evacuated_at is not None and at - evacuated_at > bound:
             yield (
                 f'evacuated: {opening.host} got a flow '
-                f'{at - evacuated_at:.1f} s late'
+                f'after {at - evacuated_at:.1f} s'
             )
-        states = played.routes.get(port)
+        states = finished.routes.get(port)
         if states is None:
             continue
         changed_at, present = states[-1]
         if not present and at - changed_at > bound:
-            yield f'old route: {port} opened {at - changed_at:.1f} s late'
+            yield f'removed route: {port} opened after {at - changed_at:.1f} s'
 
 
 def _evacuated_at(
-    played: world.World, opening: servers.Opening
+    finished: world.World, opening: servers.Opening
 ) -> float | None:
-    """Return since when its data centre was evacuated at an opening."""
-    states = played.evacuations.get(opening.data_centre, [])
+    """Return when the evacuation during which a flow opened began.
+
+    :returns: steady clock, or None if the data centre was not evacuated.
+    """
+    states = finished.evacuations.get(opening.data_centre, [])
     before = [state for state in states if state[0] <= opening.at]
     if not before or not before[-1][1]:
         return None
     return before[-1][0]
 
 
-def _not_served(played: world.World) -> typing.Iterator[str]:
+def _unanswered(finished: world.World) -> typing.Iterator[str]:
     answered = failed = 0
-    for caller in played.callers:
+    for caller in finished.callers:
         for request in caller.requests:
             if request.port not in world.PORTS.values():
                 continue
             answered += request.answered
-            failed += sum(at > played.calm_from for at in request.failed)
-    if not answered or failed > (1 - SERVED) * answered:
-        yield f'not served: {failed} failed in the calm, {answered} answered'
+            failed += sum(at > finished.quiet_from for at in request.failed)
+    if not answered or failed > (1 - MIN_ANSWERED_SHARE) * answered:
+        yield (
+            f'not served: {failed} failed after the faults, '
+            f'{answered} answered'
+        )
 
 
-def _programs(played: world.World) -> typing.Iterator[str]:
-    for program in played.programs:
-        yield from program.unasked_ends
+def _program_errors(finished: world.World) -> typing.Iterator[str]:
+    for program in finished.programs:
+        yield from program.unexpected_exits
         for line in program.log_path.read_text().splitlines():
             try:
                 event = json.loads(line)
@@ -118,14 +140,14 @@
                 yield f'{program.name}: {line[:300]}'
 
 
-def summary(played: world.World) -> dict[str, typing.Any]:
-    """Return figures of a soak."""
-    requests = [r for c in played.callers for r in c.requests]
+def summary(finished: world.World) -> dict[str, typing.Any]:
+    """Return the counts of a soak."""
+    requests = [r for c in finished.callers for r in c.requests]
     return {
         'answered': sum(r.answered for r in requests),
         'failed': sum(len(r.failed) for r in requests),
-        'resets': sum(len(c.resets) for c in played.callers),
-        'runs': sum(played.journal.runs.values()),
-        'store_calls': played.store.calls,
-        'faults': len(played.faults.done),
+        'resets': sum(len(c.resets) for c in finished.callers),
+        'runs': sum(finished.journal.runs.values()),
+        'store_calls': finished.store.calls,
+        'faults': len(finished.faults.injected),
     }
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Inject faults in series and overlapping, by a seed."""
+"""Inject random faults, one after the other and overlapping."""
 
 from __future__ import annotations
 
@@ -13,24 +13,29 @@
 if typing.TYPE_CHECKING:
     from soak import world
 
-#: Seconds between two faults.
+#: Range of the seconds between the starts of two faults.
 _GAP_S = (0.2, 1.5)
-#: Seconds after its return in which the store drops entries of dead servers.
+#: Seconds from the return of the store until it drops entries of dead servers.
 _EXPIRE_S = 2.0
 
 
 class Faults:
-    """Choose and carry out faults until told to end."""
+    """Choose and inject faults.
 
-    def __init__(self, played: world.World, randomness: random.Random) -> None:
-        """Prepare."""
-        self._world = played
+    :ivar injected: kinds of the faults so far, in order.
+    """
+
+    def __init__(
+        self, environment: world.World, randomness: random.Random
+    ) -> None:
+        """Create an injector; :meth:`run` starts it."""
+        self._world = environment
         self._random = randomness
-        self.done: list[str] = []
+        self.injected: list[str] = []
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, seconds: float) -> None:
-        """Inject faults for some seconds, then wait for the last to end."""
+        """Start faults for some seconds, then wait until all have ended."""
         until = time.monotonic() + seconds
         kinds = [
             self._kill,
@@ -52,18 +57,18 @@
         ]
         while time.monotonic() < until:
             kind = self._random.choice(kinds)
-            self.done.append(kind.__name__.lstrip('_'))
+            self.injected.append(kind.__name__.lstrip('_'))
             task = asyncio.create_task(kind())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(self._random.uniform(*_GAP_S))
         await asyncio.gather(*self._tasks)
 
-    def _program(self) -> typing.Any:
+    def _random_program(self) -> typing.Any:
         return self._random.choice(self._world.programs)
 
     async def _kill(self) -> None:
-        self._program().send(signal.SIGKILL)
+        self._random_program().send(signal.SIGKILL)
 
     async def _kill_many(self) -> None:
         for program in self._world.programs:
@@ -71,20 +76,20 @@
                 program.send(signal.SIGKILL)
 
     async def _pause(self) -> None:
-        program = self._program()
+        program = self._random_program()
         program.send(signal.SIGSTOP)
         await asyncio.sleep(self._random.uniform(0.3, 3.0))
         program.send(signal.SIGCONT)
 
     async def _terminate(self) -> None:
-        program = self._program()
+        program = self._random_program()
         program.send(signal.SIGTERM)
         if self._random.random() < 0.3:
             await asyncio.sleep(0.2)
             program.send(signal.SIGTERM)
 
     async def _hang_up(self) -> None:
-        program = self._program()
+        program = self._random_program()
         program.write_settings()
         program.send(signal.SIGHUP)
 
@@ -92,10 +97,10 @@
         server = self._random.choice(self._world.servers)
         if not server.up:
             return
-        keeps_name = self._random.random() < 0.5
-        server.crash(forget=not keeps_name)
+        keep_key = self._random.random() < 0.5
+        server.crash(remove_entry=not keep_key)
         await asyncio.sleep(self._random.uniform(0.3, 2.0))
-        await server.start(keeps_name=keeps_name)
+        await server.start(keep_key=keep_key)
 
     async def _silence_server(self) -> None:
         server = self._random.choice(self._world.servers)
@@ -111,15 +116,15 @@
         server.drain()
         await asyncio.sleep(self._random.uniform(3.5, 4.5))
         if server.up and server.draining_since is not None:
-            server.crash(forget=True)
+            server.crash(remove_entry=True)
             await server.start()
 
     async def _foreign_entry(self) -> None:
-        """Leave what names no target, beside a server's entry or over it."""
+        """Write an invalid entry under a new key or over a server's entry."""
         server = self._random.choice(self._world.servers)
         odd = self._random.choice(documents.ODD_ENTRIES)
         if self._random.random() < 0.5 or not server.up:
-            key = documents.server_key(f'odd-{len(self.done)}')
+            key = documents.server_key(f'odd-{len(self.injected)}')
             self._world.store.put(key, odd)
             return
         self._world.store.put(server.key, odd)
@@ -140,7 +145,7 @@
         self._world.store.compact()
 
     async def _come_back(self) -> None:
-        """Lose the last seconds of the store, which is away for a moment."""
+        """Make the store unreachable, then restore it from an older copy."""
         copy = self._world.store.copy()
         await asyncio.sleep(self._random.uniform(0.5, 5.0))
         for proxy in self._world.proxies:
@@ -151,12 +156,12 @@
         for proxy in self._world.proxies:
             proxy.mode = 'pass'
         await asyncio.sleep(self._random.uniform(0.0, 0.5))
-        self._world.publish_again()
+        self._world.republish()
         for server in self._world.servers:
             await asyncio.sleep(
                 self._random.uniform(0.0, 2.0) / len(self._world.servers)
             )
-            server.register_again()
+            server.register_unchanged()
         await asyncio.sleep(_EXPIRE_S)
         self._world.expire_entries()
         self._world.store_disturbed_at = time.monotonic()
@@ -168,7 +173,7 @@
         self._world.configure_many()
 
     async def _evacuate(self) -> None:
-        """Empty a data centre for a while; both may be at one moment."""
+        """Evacuate a data centre for a while; two evacuations may overlap."""
         name = f'dc-{self._random.randrange(2)}'
         self._world.evacuate(name, active=True)
         await asyncio.sleep(self._random.uniform(2.0, 7.0))
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Start the real programs, and disturb them by signals."""
+"""Start the real programs and send them signals."""
 
 from __future__ import annotations
 
@@ -14,44 +14,48 @@
 from teaseldock_platform import settings
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
-#: Most processes of one soak: "a few hundred" is the machine's limit.
-MOST_PROCESSES = 200
+#: Limit for the processes of one soak; the machine allows "a few hundred".
+MAX_PROCESSES = 200
 
 
 class Program:
-    """One balancer or agent."""
+    """A process of a balancer or agent.
+
+    :ivar disturbed_at: steady clock at the last start or signal.
+    :ivar unexpected_exits: a line for each exit without SIGKILL or SIGTERM.
+    """
 
     def __init__(
         self, role: str, number: int, folder: pathlib.Path, *, service: str
     ) -> None:
-        """Prepare; nothing runs before :meth:`start`."""
+        """Describe a process; :meth:`start` starts it."""
         self.role = role
         self.host = network.host(1 if role == 'balancer' else 2, number)
         self.name = f'{role}-{number}'
         self.service = service
         self.store = ''
         self.seeds: list[str] = []
-        # Every second one spends on control what suits a slim link.
+        # Every second program has a control budget for a slow link.
         self.link_mbps = 2.0 if number % 2 else 1000.0
         self.disturbed_at = 0.0
-        self.unasked_ends: list[str] = []
+        self.unexpected_exits: list[str] = []
         self._paused = False
         self._folder = folder
         self._process: subprocess.Popen | None = None
-        self._expected_end = True
+        self._exit_expected = True
 
     @property
     def log_path(self) -> pathlib.Path:
-        """Return where its lines go."""
+        """Return the path of the log."""
         return self._folder / f'{self.name}.log'
 
     @property
     def settings_path(self) -> pathlib.Path:
-        """Return its settings file."""
+        """Return the path of the settings file."""
         return self._folder / f'{self.name}.json'
 
     def write_settings(self) -> None:
-        """Write what the platform's template would give."""
+        """Write the settings file that the platform would write."""
         values = {
             'name': self.name,
             'host': self.host,
@@ -71,10 +75,10 @@
         self.settings_path.write_text(json.dumps(values))
 
     def start(self) -> None:
-        """Start, unless it runs."""
+        """Start the process unless it is running."""
         if self._process is not None and self._process.poll() is None:
             return
-        self.note_end()
+        self.check_exit()
         self.disturbed_at = time.monotonic()
         environment = {
             settings.PATH_VARIABLE: str(self.settings_path),
@@ -88,34 +92,34 @@
                 stdout=log,
                 stderr=log,
             )
-        self._expected_end = False
+        self._exit_expected = False
         self._paused = False
 
-    def note_end(self) -> None:
-        """Keep an end that nobody asked for."""
-        if self._process is None or self._expected_end:
+    def check_exit(self) -> None:
+        """Record an exit that no signal of the soak caused."""
+        if self._process is None or self._exit_expected:
             return
         if self._process.poll() is not None:
-            self._expected_end = True
-            self.unasked_ends.append(
+            self._exit_expected = True
+            self.unexpected_exits.append(
                 f'{self.name} ended with {self._process.returncode}'
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this very process."""
-        self.note_end()
+        """Send a signal to the process if it is running."""
+        self.check_exit()
         if self._process is None or self._process.poll() is not None:
             return
         self.disturbed_at = time.monotonic()
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self._expected_end = True
+            self._exit_expected = True
         if number is signal.SIGTERM and self._paused:
             self._process.send_signal(signal.SIGCONT)
         self._paused = number is signal.SIGSTOP
         self._process.send_signal(number)
 
     def wait(self, seconds: float) -> None:
-        """Wait for its end, and kill it after some seconds."""
+        """Wait for the exit; kill the process after some seconds."""
         if self._process is None:
             return
         try:
@@ -126,5 +130,5 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether it runs."""
+        """Return whether the process is running."""
         return self._process is not None and self._process.poll() is None
--- a/soak/network.py
+++ b/soak/network.py
@@ -1,4 +1,4 @@
-"""Addresses on the loopback network, and packets as the soak writes them."""
+"""Define loopback addresses, ports and the packet format of the soak."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 from teaseldock_platform import packet_head
 
-#: Second octet of all addresses, so that two soaks don't meet.
+#: Second octet of all addresses; it depends on the process id, so that
+#: concurrent soaks use different addresses.
 NETWORK = 20 + os.getpid() % 200
 PACKETS_PORT = 18172
 READY_PORT = 18167
@@ -21,15 +22,16 @@
 SERVICE_HOST = bytes((198, 18, 0, 1))
 _HEAD = struct.Struct('>B3sIIH4sH4sH4s4s')
 SYN, ACK, FIN, RST, BOUNCED = 32, 64, 8, 1, 4
-#: What a caller or server writes as the sum; a reset of the system has 0.
-SUM = b'soak'
+#: Checksum field of packets from callers and servers; it is 0 in resets that
+#: the system sends.
+CHECKSUM = b'soak'
 
 
 class Flow(typing.NamedTuple):
-    """A caller's connection.
+    """A connection of a caller.
 
-    :ivar caller: its IPv4 address, packed.
-    :ivar caller_port: its port.
+    :ivar caller: IPv4 address of the caller, packed.
+    :ivar caller_port: port of the caller.
     :ivar port: port of the route at :data:`SERVICE_HOST`.
     """
 
@@ -38,8 +40,11 @@
     port: int
 
 
-class Seen(typing.NamedTuple):
-    """A packet as the soak reads it."""
+class Packet(typing.NamedTuple):
+    """A parsed packet.
+
+    :ivar from_system: whether a balancer or agent sent the packet itself.
+    """
 
     flow: Flow
     flags: int
@@ -50,7 +55,11 @@
 
 
 def host(kind: int, number: int) -> str:
-    """Return an address: 1 balancers, 2 agents, 3 callers, 4 the store."""
+    """Return an address of a kind.
+
+    :param kind: 1 balancers, 2 agents and servers, 3 callers, 4 the store
+        and its proxies.
+    """
     return f'127.{NETWORK}.{kind}.{number}'
 
 
@@ -75,7 +84,7 @@
 def _packet(
     flags: int,
     fields: dict[str, typing.Any],
-    ends: tuple[int, bytes, int, bytes],
+    endpoints: tuple[int, bytes, int, bytes],
 ) -> bytes:
     body = fields.get('body', b'')
     head = _HEAD.pack(
@@ -85,15 +94,18 @@
         fields.get('acknowledged', 0) % (1 << 32),
         len(body),
         bytes(4),
-        *ends,
-        SUM,
+        *endpoints,
+        CHECKSUM,
     )
     return head + body
 
 
-def read(raw: bytes, *, at_server: bool) -> Seen:
-    """Read a packet where it arrives."""
-    flags, _, seq, ack, _, _, sport, dst, dport, src, total = (
+def parse(raw: bytes, *, at_server: bool) -> Packet:
+    """Parse a received packet.
+
+    :param at_server: whether a server received it; else a caller did.
+    """
+    flags, _, seq, ack, _, _, sport, dst, dport, src, checksum = (
         _HEAD.unpack_from(raw)
     )
     if at_server:
@@ -101,27 +113,27 @@
     else:
         flow = Flow(dst, dport, sport)
     body = raw[packet_head.HEAD_BYTES :]
-    return Seen(flow, flags, seq, ack, body, total != SUM)
+    return Packet(flow, flags, seq, ack, body, checksum != CHECKSUM)
 
 
 class Port(asyncio.DatagramProtocol):
-    """A UDP port that hands datagrams to a function."""
+    """A UDP port that passes received datagrams to a function."""
 
     def __init__(self, handle: typing.Callable[[bytes], None]) -> None:
-        """Prepare."""
+        """Create a port that is not bound yet."""
         self._handle = handle
         self._transport: typing.Any = None
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, _: typing.Any) -> None:
-        """Pass a datagram on."""
+        """Pass a datagram to the handler."""
         self._handle(data)
 
     def send(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Send, if the port is open."""
+        """Send a datagram; drop it if the port is closed."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(datagram, address)
 
@@ -134,7 +146,7 @@
 async def open_port(
     address: tuple[str, int], handle: typing.Callable[[bytes], None]
 ) -> Port:
-    """Open a UDP port."""
+    """Bind a UDP port and return it."""
     loop = asyncio.get_running_loop()
     _, port = await loop.create_datagram_endpoint(
         lambda: Port(handle), local_addr=address
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Pass connections on to the store, and misbehave on demand."""
+"""Proxy TCP connections to the store, with faults on demand."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 
 class Proxy:
-    """Pass TCP connections on to the store, as its mode says.
+    """Forward TCP connections to the store in one of several fault modes.
 
-    :ivar mode: ``pass``; ``slow``; ``refuse`` (accepted and reset);
-        ``silent`` (nothing passes); ``deaf`` (no answer comes back).
+    :ivar mode: ``pass``; ``slow`` (300 ms of delay per chunk); ``refuse``
+        (connections are accepted, then reset); ``silent`` (data of both
+        directions is dropped); ``deaf`` (data from the store is dropped).
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
-        """Prepare."""
+        """Create a proxy in mode ``pass`` that does not listen yet."""
         self.mode = 'pass'
         self._target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, address: tuple[str, int]) -> None:
-        """Accept connections."""
+        """Listen on an address."""
         self._server = await asyncio.start_server(self._serve, *address)
 
     def close(self) -> None:
-        """Stop, and cut what is open."""
+        """Stop listening and reset all open connections."""
         self.cut()
         if self._server is not None:
             self._server.close()
@@ -38,38 +39,40 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
-        upstream = None
+        store_writer = None
         try:
             if self.mode == 'refuse':
                 writer.transport.abort()
                 return
-            back, upstream = await asyncio.open_connection(*self._target)
+            store_reader, store_writer = await asyncio.open_connection(
+                *self._target
+            )
             await asyncio.gather(
-                self._pump(reader, upstream, answers=False),
-                self._pump(back, writer, answers=True),
+                self._forward(reader, store_writer, from_store=False),
+                self._forward(store_reader, writer, from_store=True),
             )
         except OSError:
-            # Either end is gone; the other is closed below.
+            # One end has closed; the other is closed below.
             pass
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
-            if upstream is not None:
-                upstream.transport.abort()
+            if store_writer is not None:
+                store_writer.transport.abort()
 
-    async def _pump(
+    async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
         *,
-        answers: bool,
+        from_store: bool,
     ) -> None:
-        while part := await source.read(65536):
+        while chunk := await source.read(65536):
             if self.mode == 'slow':
                 await asyncio.sleep(0.3)
             if self.mode == 'refuse':
                 break
-            if self.mode == 'silent' or (self.mode == 'deaf' and answers):
+            if self.mode == 'silent' or (self.mode == 'deaf' and from_store):
                 continue
-            sink.write(part)
+            sink.write(chunk)
         sink.transport.abort()
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of the soak: they take flows, run requests, and leave."""
+"""Simulate backend servers that accept flows, run requests and drain."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 if typing.TYPE_CHECKING:
     from standin_platform import store
 
-#: First byte of a request that must run once at most.
-GUARDED = b'G'
-#: Bytes of a request's id, after the first byte.
+#: First byte of a request that must run at most once.
+NON_IDEMPOTENT = b'G'
+#: Bytes of the id of a request, after the first byte.
 ID_BYTES = 8
-#: Seconds until a closed port can be had again.
+#: Seconds until a closed port can be bound again.
 _CLOSE_S = 0.05
-#: Unix milliseconds; the runs of a server are born one after the other.
-_FIRST_BORN = 1_700_000_000_000
+#: Unix milliseconds; the start time of each incarnation is larger than that
+#: of the one before.
+_FIRST_START_MS = 1_700_000_000_000
 
 
 class Opening(typing.NamedTuple):
-    """A flow that a server took.
+    """A flow that a server accepted.
 
-    :ivar leaving_since: when its leaving was accepted, if it was leaving.
-    :ivar data_centre: where the server runs.
+    :ivar at: steady clock, in seconds.
+    :ivar leaving_since: when the store accepted the entry that says the server
+        is leaving; None if it was not leaving.
+    :ivar data_centre: data centre of the server.
     """
 
     at: float
@@ -40,16 +43,24 @@
 
 
 class Journal:
-    """What the servers saw, for the checks at the end."""
+    """Records of all servers, for the checks at the end.
+
+    :ivar runs: number of runs by first byte and id of a request.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty journal."""
         self.runs: collections.Counter[bytes] = collections.Counter()
         self.openings: list[Opening] = []
 
 
 class Server:
-    """One backend server beside an agent."""
+    """A backend server on the host of an agent.
+
+    :ivar flows: the server's initial sequence number of each open flow.
+    :ivar silent: whether the server ignores all packets.
+    :ivar disturbed_at: steady clock at the last crash or silence.
+    """
 
     def __init__(
         self,
@@ -60,7 +71,7 @@
         registry: store.Store,
         randomness: random.Random,
     ) -> None:
-        """Prepare; nothing is opened before :meth:`start`."""
+        """Create a server; :meth:`start` opens its port."""
         self.number = number
         self.host = network.host(2, number)
         self.service = service
@@ -68,8 +79,8 @@
         self.silent = False
         self.draining_since: float | None = None
         self.disturbed_at = 0.0
-        self._run = 0
-        self._name = 0
+        self._incarnation = 0
+        self._key_number = 0
         self._starting = False
         self._journal = journal
         self._registry = registry
@@ -80,43 +91,43 @@
 
     @property
     def key(self) -> str:
-        """Return the key of its entry."""
-        return documents.server_key(f'i-{self.number}-{self._name}')
+        """Return the key of the server's entry in the store."""
+        return documents.server_key(f'i-{self.number}-{self._key_number}')
 
     @property
     def data_centre(self) -> str:
-        """Return where it runs."""
+        """Return the data centre of the server."""
         return f'dc-{self.number % 2}'
 
     @property
     def up(self) -> bool:
-        """Tell whether it runs."""
+        """Return whether the server is running."""
         return self._port is not None
 
-    async def start(self, *, keeps_name: bool = False) -> None:
-        """Begin a run; nothing happens while it is up.
+    async def start(self, *, keep_key: bool = False) -> None:
+        """Start a new incarnation unless the server is running.
 
-        :param keeps_name: whether it starts again under the key that it had.
+        :param keep_key: whether the entry keeps its key.
         """
         if self._starting or self.up:
             return
         self._starting = True
         await asyncio.sleep(_CLOSE_S)
-        self._run += 1
-        self._name += not keeps_name
+        self._incarnation += 1
+        self._key_number += not keep_key
         self.draining_since = None
         self._port = await network.open_port(
-            (self.host, network.SERVER_PORT), self._take
+            (self.host, network.SERVER_PORT), self._receive
         )
         self._starting = False
         self.register()
 
     def register(self) -> None:
-        """Write the entry of a server that serves."""
+        """Write the entry of a server that accepts flows."""
         self._register(leaving=False)
 
-    def register_again(self) -> None:
-        """Write the entry as it was, for a store that lost it."""
+    def register_unchanged(self) -> None:
+        """Write the current entry again, after the store lost it."""
         if self.up:
             self._register(leaving=self.draining_since is not None)
 
@@ -126,18 +137,18 @@
             address=f'{self.host}:{network.SERVER_PORT}',
             data_centre=self.data_centre,
             leaving=leaving,
-            born_ms=_FIRST_BORN + self._run,
+            born_ms=_FIRST_START_MS + self._incarnation,
         )
         return self._registry.put(self.key, entry)
 
     def drain(self) -> None:
-        """Announce that it leaves."""
+        """Write that the server is leaving."""
         self.draining_since = self._register(leaving=True)
 
-    def crash(self, *, forget: bool) -> None:
-        """Lose everything.
+    def crash(self, *, remove_entry: bool) -> None:
+        """Close the port and drop all flows.
 
-        :param forget: whether its entry vanishes at once.
+        :param remove_entry: whether to remove the entry from the store.
         """
         if self._port is not None:
             self._port.close()
@@ -145,72 +156,72 @@
         self.flows.clear()
         self._done.clear()
         self.disturbed_at = time.monotonic()
-        if forget:
+        if remove_entry:
             self._registry.remove(self.key)
 
-    def _say(self, flow: network.Flow, flags: int, **fields) -> None:
+    def _send(self, flow: network.Flow, flags: int, **fields) -> None:
         if self._port is not None:
             self._port.send(
                 network.from_server(flow, flags, **fields),
                 (self.host, network.FROM_SERVER_PORT),
             )
 
-    def _take(self, raw: bytes) -> None:
+    def _receive(self, raw: bytes) -> None:
         if self.silent:
             return
-        seen = network.read(raw, at_server=True)
-        if seen.flags & network.SYN:
-            self._open(seen)
-        elif seen.flow not in self.flows:
-            self._return(raw)
-        elif seen.flags & (network.RST | network.FIN):
-            del self.flows[seen.flow]
-        elif seen.body and seen.acknowledged != self.flows[seen.flow]:
-            # The caller took another server's answer to its opening.
-            del self.flows[seen.flow]
-            self._return(raw)
-        elif seen.body:
-            self._request(seen)
-
-    def _open(self, seen: network.Seen) -> None:
+        packet = network.parse(raw, at_server=True)
+        if packet.flags & network.SYN:
+            self._accept_flow(packet)
+        elif packet.flow not in self.flows:
+            self._bounce(raw)
+        elif packet.flags & (network.RST | network.FIN):
+            del self.flows[packet.flow]
+        elif packet.body and packet.acknowledged != self.flows[packet.flow]:
+            # The caller accepted the SYN-ACK of another server.
+            del self.flows[packet.flow]
+            self._bounce(raw)
+        elif packet.body:
+            self._run_request(packet)
+
+    def _accept_flow(self, packet: network.Packet) -> None:
         self._journal.openings.append(
             Opening(
                 time.monotonic(),
                 self.host,
                 self.service,
-                seen.flow.port,
+                packet.flow.port,
                 self.draining_since,
                 self.data_centre,
             )
         )
         number = self.flows.setdefault(
-            seen.flow, self._random.randrange(1, 1 << 31)
+            packet.flow, self._random.randrange(1, 1 << 31)
         )
-        self._say(seen.flow, network.SYN | network.ACK, sequence=number)
+        self._send(packet.flow, network.SYN | network.ACK, sequence=number)
 
-    def _return(self, raw: bytes) -> None:
+    def _bounce(self, raw: bytes) -> None:
         assert self._port is not None
-        returned = bytes((raw[0] | network.BOUNCED,)) + bytes(3) + raw[4:]
-        self._port.send(returned, (self.host, network.FROM_SERVER_PORT))
+        bounced = bytes((raw[0] | network.BOUNCED,)) + bytes(3) + raw[4:]
+        self._port.send(bounced, (self.host, network.FROM_SERVER_PORT))
 
-    def _request(self, seen: network.Seen) -> None:
-        if (seen.flow, seen.sequence) in self._done:
+    def _run_request(self, packet: network.Packet) -> None:
+        if (packet.flow, packet.sequence) in self._done:
             return
-        self._done.add((seen.flow, seen.sequence))
-        self._journal.runs[seen.body[: 1 + ID_BYTES]] += 1
-        run = self._run
+        self._done.add((packet.flow, packet.sequence))
+        self._journal.runs[packet.body[: 1 + ID_BYTES]] += 1
+        incarnation = self._incarnation
         asyncio.get_running_loop().call_later(
             self._random.uniform(0.01, 0.05),
-            lambda: self._answer(seen, run),
+            lambda: self._answer(packet, incarnation),
         )
 
-    def _answer(self, seen: network.Seen, run: int) -> None:
-        if run == self._run and seen.flow in self.flows:
-            self._sent[seen.flow] += 1 + ID_BYTES
-            self._say(
-                seen.flow,
+    def _answer(self, packet: network.Packet, incarnation: int) -> None:
+        if incarnation == self._incarnation and packet.flow in self.flows:
+            self._sent[packet.flow] += 1 + ID_BYTES
+            self._send(
+                packet.flow,
                 network.ACK,
-                sequence=self.flows[seen.flow] + self._sent[seen.flow],
-                acknowledged=seen.sequence,
-                body=seen.body[: 1 + ID_BYTES],
+                sequence=self.flows[packet.flow] + self._sent[packet.flow],
+                acknowledged=packet.sequence,
+                body=packet.body[: 1 + ID_BYTES],
             )
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""Put programs, store, servers, fabric and callers together."""
+"""Build and run programs, store, servers, fabric and callers."""
 
 from __future__ import annotations
 
@@ -17,20 +17,28 @@
 from standin_platform import documents
 from standin_platform import store
 
-#: Ports of routes that stay, by service; and where added routes begin.
+#: Ports of the permanent routes by service, and first port of added routes.
 PORTS = {'dispatch': 443, 'tickets': 444}
 _EXTRA_PORT = 1000
-#: Routes without traffic that come or go at once, and their first port.
+#: Number of routes without traffic that are added or removed together, and
+#: their first port.
 _IDLE_ROUTES = 1200
 _IDLE_PORT = 20_000
-#: Seconds until a process that has ended is started again.
+#: Seconds between two checks for processes that have exited.
 _RESTART_S = 0.3
-#: Seconds of calm before and after the faults.
-_CALM_S = 5.0
+#: Seconds after the faults until failed requests count; traffic goes on for
+#: twice that time.
+_QUIET_S = 5.0
 
 
 class World:
-    """One soak from its start to its records."""
+    """All parts of one soak, and its records.
+
+    :ivar store_disturbed_at: steady clock at the end of the last store fault.
+    :ivar routes: for each port, when its route was added or removed.
+    :ivar evacuations: for each data centre, when evacuations began and ended.
+    :ivar quiet_from: steady clock from which failed requests count.
+    """
 
     def __init__(
         self,
@@ -41,9 +49,9 @@
         agents: int,
         fault_s: float,
     ) -> None:
-        """Build everything; nothing runs before :meth:`run`."""
-        if balancers + agents > fleet.MOST_PROCESSES:
-            raise ValueError(f'more than {fleet.MOST_PROCESSES} processes')
+        """Create all parts; :meth:`run` starts them."""
+        if balancers + agents > fleet.MAX_PROCESSES:
+            raise ValueError(f'more than {fleet.MAX_PROCESSES} processes')
         self._random = random.Random(seed)
         self._fault_s = fault_s
         self.journal = servers.Journal()
@@ -86,11 +94,11 @@
             for number in range(8)
         ]
         self.faults = faults.Faults(self, self._random)
-        self.calm_from = 0.0
+        self.quiet_from = 0.0
         self._ending = False
 
     def configure(self) -> None:
-        """Publish the next version: one route comes, the oldest goes."""
+        """Publish a version that adds a route and may remove the oldest."""
         self._version += self._random.randrange(1, 4)
         port = _EXTRA_PORT + self._version
         extra = sorted(p for p in self.routes if p >= _EXTRA_PORT)
@@ -112,12 +120,12 @@
             self.routes[number].append((at, False))
 
     def configure_many(self) -> None:
-        """Publish a version with many more routes, or without them again."""
+        """Publish a version that adds or removes many routes at once."""
         self._idle_routes = _IDLE_ROUTES - self._idle_routes
         self.configure()
 
     def evacuate(self, data_centre: str, *, active: bool) -> None:
-        """Request that a data centre gets no new flows, or take it back."""
+        """Begin or end the evacuation of a data centre (no new flows)."""
         key = documents.evacuation_key(data_centre)
         at = time.monotonic()
         if active:
@@ -128,8 +136,8 @@
         if not states or states[-1][1] is not active:
             states.append((at, active))
 
-    def publish_again(self) -> None:
-        """Write what the operator wants, for a store that lost it."""
+    def republish(self) -> None:
+        """Write configuration and evacuations that the store lost."""
         self.store.put(documents.CONFIGURATION_KEY, self._published)
         for name, states in self.evacuations.items():
             key = documents.evacuation_key(name)
@@ -139,15 +147,15 @@
                 self.store.remove(key)
 
     def expire_entries(self) -> None:
-        """Remove entries of servers that don't run any more."""
-        living = {server.key for server in self.servers if server.up}
-        mine = documents.server_key('i-')
+        """Remove the entries of servers that are not running."""
+        running_keys = {server.key for server in self.servers if server.up}
+        prefix = documents.server_key('i-')
         for key in list(self.store.items):
-            if key.startswith(mine) and key not in living:
+            if key.startswith(prefix) and key not in running_keys:
                 self.store.remove(key)
 
     async def run(self) -> None:
-        """Play the soak."""
+        """Run the soak."""
         self.store.start(self._store_address)
         for number, item in enumerate(self.proxies):
             await item.start((network.host(4, 2 + number), 18000))
@@ -166,21 +174,21 @@
             program.store = f'{network.host(4, 2 + number % 2)}:18000'
             program.write_settings()
             program.start()
-        keeper = asyncio.create_task(self._keep_running())
+        supervisor = asyncio.create_task(self._keep_running())
         self.fabric.start()
         await asyncio.sleep(3.0)
         traffic = asyncio.create_task(self._traffic())
         await asyncio.sleep(1.0)
         await self.faults.run(self._fault_s)
-        self.calm_from = time.monotonic() + _CALM_S
-        await asyncio.sleep(2 * _CALM_S)
+        self.quiet_from = time.monotonic() + _QUIET_S
+        await asyncio.sleep(2 * _QUIET_S)
         self._ending = True
         await traffic
-        keeper.cancel()
+        supervisor.cancel()
         await self.close()
 
     async def close(self) -> None:
-        """End what was started."""
+        """Stop all processes and close all ports."""
         for program in self.programs:
             program.send(fleet.signal.SIGTERM)
         for program in self.programs:
@@ -190,7 +198,7 @@
             caller.close()
         for server in self.servers:
             if server.up:
-                server.crash(forget=False)
+                server.crash(remove_entry=False)
         for item in self.proxies:
             item.close()
         self.store.close()
@@ -213,9 +221,9 @@
             if 0.6 < kind < 0.7 and live:
                 port = self._random.choice(sorted(self.routes))
             task = asyncio.create_task(
-                caller.ask(
+                caller.send_requests(
                     port,
-                    guarded=kind > 0.7,
+                    non_idempotent=kind > 0.7,
                     times=8 if kind < 0.3 else 1,
                 )
             )
