--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand in for what surrounds teaseldock: for demos and tests only."""
+"""Stand in for external systems and callers, for demos and tests only."""
 
 from __future__ import annotations
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,8 +1,8 @@
-"""Stand in for callers: orders, feeds and scans, through a real client.
+"""Simulate callers that send orders, feeds and scans with a CoAP client.
 
-Each caller is one flow: a client context with a socket of its own. All that
-is asked and answered goes to a record file, for comparison with the servers'
-logs.
+Each caller is one flow: a client context with a socket of its own. It writes
+the outcome of each request to a record file, which is compared with the logs
+of the servers.
 """
 
 from __future__ import annotations
@@ -18,21 +18,25 @@
 import aiocoap
 from aiocoap import error
 
-#: Seconds after which a caller gives a request up.
-GIVE_UP_S = 25.0
+#: Seconds after which a caller abandons a request.
+REQUEST_TIMEOUT_S = 25.0
 #: Seconds without a notification after which a feed counts as broken.
-FEED_GAP_S = 4.0
-#: Bytes of a scan; more than one block.
+FEED_TIMEOUT_S = 4.0
+#: Bytes of a scan; more than one CoAP block.
 SCAN_BYTES = 3000
 
 
 class Caller:
-    """One caller with one flow."""
+    """A caller with one flow."""
 
     def __init__(
         self, number: int, options: dict[str, typing.Any], record: typing.Any
     ) -> None:
-        """Prepare; the socket is opened by :meth:`run`."""
+        """Create a caller; :meth:`run` opens the socket.
+
+        :param options: the JSON object that the process was started with.
+        :param record: file for the records.
+        """
         self.number = number
         self.options = options
         self.record = record
@@ -41,12 +45,12 @@
         self.context: aiocoap.Context | None = None
         self.until = 0.0
 
-    def note(self, **fields: typing.Any) -> None:
-        """Write one line of the record."""
+    def write_record(self, **fields: typing.Any) -> None:
+        """Write one line of JSON to the record file."""
         self.record.write(json.dumps({'at': time.time(), **fields}) + '\n')
 
     async def run(self, until: float) -> None:
-        """Ask until a time, then finish what is under way."""
+        """Send requests until a steady time, then finish the last one."""
         self.until = until
         self.context = await aiocoap.Context.create_client_context()
         kind = self.options['kind']
@@ -77,18 +81,18 @@
         else:
             payload += b'|' + b'x' * SCAN_BYTES
         began = time.monotonic()
-        outcome, body = await self._ask(method, kind, payload)
-        right = body.split('|')[0] == identity
-        if outcome == 'answered' and not right:
+        outcome, body = await self._exchange(method, kind, payload)
+        matches = body.split('|')[0] == identity
+        if outcome == 'answered' and not matches:
             outcome = 'crossed'
-        self.note(
+        self.write_record(
             kind=kind,
             id=identity,
             outcome=outcome,
             seconds=round(time.monotonic() - began, 4),
         )
 
-    async def _ask(
+    async def _exchange(
         self, method: typing.Any, segment: str, payload: bytes
     ) -> tuple[str, str]:
         echo = None
@@ -101,7 +105,7 @@
             message.opt.echo = echo
             try:
                 answer = await asyncio.wait_for(
-                    self.context.request(message).response, GIVE_UP_S
+                    self.context.request(message).response, REQUEST_TIMEOUT_S
                 )
             except (error.Error, OSError, TimeoutError) as problem:
                 return f'lost: {problem!r}', ''
@@ -122,7 +126,7 @@
         return f'error {answer.code}', body
 
     async def _open_feed(self, identity: str) -> typing.Any:
-        """Register for the feed, with a challenge if one is asked for."""
+        """Register for the feed; repeat with an Echo if challenged."""
         echo = None
         for _ in range(3):
             message = aiocoap.Message(
@@ -132,7 +136,9 @@
             message.opt.observe = 0
             message.opt.echo = echo
             request = self.context.request(message)
-            answer = await asyncio.wait_for(request.response, GIVE_UP_S)
+            answer = await asyncio.wait_for(
+                request.response, REQUEST_TIMEOUT_S
+            )
             if answer.code != aiocoap.UNAUTHORIZED or not answer.opt.echo:
                 return request, answer
             echo = answer.opt.echo
@@ -144,19 +150,21 @@
         outcome = 'kept'
         try:
             request, answer = await self._open_feed(identity)
-            outcome = self._judge_feed(answer, identity)
+            outcome = self._check_feed(answer, identity)
             source = aiter(request.observation)
             while outcome == 'kept' and time.monotonic() < self.until:
-                answer = await asyncio.wait_for(anext(source), FEED_GAP_S)
-                outcome = self._judge_feed(answer, identity)
+                answer = await asyncio.wait_for(anext(source), FEED_TIMEOUT_S)
+                outcome = self._check_feed(answer, identity)
                 notes += 1
         except (error.Error, OSError, TimeoutError) as problem:
             outcome = f'broken: {problem!r}'
         except StopAsyncIteration:
             outcome = 'broken: ended'
-        self.note(kind='feed', id=identity, outcome=outcome, notes=notes)
+        self.write_record(
+            kind='feed', id=identity, outcome=outcome, notes=notes
+        )
 
-    def _judge_feed(self, answer: aiocoap.Message, identity: str) -> str:
+    def _check_feed(self, answer: aiocoap.Message, identity: str) -> str:
         if not answer.code.is_successful():
             return f'broken: {answer.code}'
         body = json.loads(answer.payload)
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a deployment through its planned changes, and judge the promises."""
+"""Run a deployment through changes and outages, and check the guarantees."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from standins import deployment
 from standins import judge
 
-#: Callers of each kind: segment of the path, count, mean pause in seconds.
+#: For each kind of callers: service, path segment, number of callers, mean
+#: pause in seconds.
 WORKLOADS = {
     'prairie': (
         ('dispatch', 'orders', 30, 0.15),
@@ -27,17 +28,18 @@
 }
 DELAYS_S = {'prairie': 0.0045, 'zilina': 0.0015}
 NETWORKS = {'prairie': 20, 'zilina': 30}
-#: Share of the run's time at which each step is taken.
-STEPS = (0.1, 0.25, 0.4, 0.5, 0.6, 0.75)
-#: Seconds after the callers' end for their last answers.
+#: When each step runs, as a share of the duration.
+STEP_SHARES = (0.1, 0.25, 0.4, 0.5, 0.6, 0.75)
+#: Seconds after the duration in which callers may receive their last answers.
 LAST_ANSWERS_S = 30.0
-PROMISES = ('broken_flows', 'misrouted', 'ran_twice', 'untrue_refusals')
+#: Figures that must be 0.
+ZERO_COUNTS = ('broken_flows', 'misrouted', 'ran_twice', 'untrue_refusals')
 IN_FORCE_LIMIT_S = 4.0
 CONTROL_LIMIT = 10_000
 
 
-def say(text: str) -> None:
-    """Show progress on standard error."""
+def log_progress(text: str) -> None:
+    """Print a line of progress on standard error."""
     print(f'{time.strftime("%H:%M:%S")} {text}', file=sys.stderr, flush=True)
 
 
@@ -95,35 +97,35 @@
 
 
 def steps(dep: deployment.Deployment) -> list[typing.Callable[[], None]]:
-    """Return the planned and unplanned changes, in order."""
+    """Return the changes and outages in order; each runs when called."""
     drained = dep.rules['services'][0]['targets'][0]['instance']
 
     def drain() -> None:
-        say(f'drain {drained} by the rules')
+        log_progress(f'drain {drained} by the rules')
         dep.rules['leaving'] = [drained]
         dep.publish('rules', dep.rules)
 
     def replace_gracefully() -> None:
-        say('replace balancer-1 with SIGTERM')
+        log_progress('replace balancer-1 with SIGTERM')
         dep.start_balancer()
         dep.stop_balancer('balancer-1')
 
     def replace_killed() -> None:
-        say('replace balancer-2 with SIGKILL')
+        log_progress('replace balancer-2 with SIGKILL')
         dep.kill('balancer-2')
         dep.unlist('balancer-2')
         dep.start_balancer()
 
     def add_target() -> None:
-        say('add a target')
+        log_progress('add a target')
         _add_target(dep)
 
     def platform_down() -> None:
-        say('configuration service down')
+        log_progress('stop configuration service')
         dep.set_platform(mode='down')
 
     def platform_up() -> None:
-        say('configuration service up')
+        log_progress('resume configuration service')
         dep.set_platform(mode='up')
 
     return [
@@ -137,7 +139,7 @@
 
 
 def run(name: str, seconds: float, seed: int) -> dict[str, typing.Any]:
-    """Run a deployment and return the verdict."""
+    """Run an example deployment and return its figures."""
     register, rules = deployment.load_example(name)
     dep = deployment.Deployment(
         register,
@@ -149,11 +151,11 @@
         delay_s=DELAYS_S[name],
     )
     try:
-        say(f'start {name}: {len(register["instances"])} targets')
+        log_progress(f'start {name}: {len(register["instances"])} targets')
         dep.start()
         callers = start_callers(dep, name, seconds)
         began = time.monotonic()
-        for share, step in zip(STEPS, steps(dep)):
+        for share, step in zip(STEP_SHARES, steps(dep)):
             time.sleep(max(0.0, began + share * seconds - time.monotonic()))
             step()
         for process in callers:
@@ -171,19 +173,24 @@
 
 
 def main() -> int:
-    """Run the demo as the environment says and print one line of JSON."""
+    """Run the demo and print one line of JSON.
+
+    ``DEMO_DEPLOYMENT``, ``DEMO_SECONDS`` and ``DEMO_SEED`` configure it.
+
+    :returns: 0 if all guarantees held, else 1.
+    """
     name = os.environ.get('DEMO_DEPLOYMENT', 'prairie')
     seconds = float(os.environ.get('DEMO_SECONDS', '20'))
     verdict = run(name, seconds, int(os.environ.get('DEMO_SEED', '1')))
     problems = verdict.pop('problems')
     for problem in problems:
-        say(f'problem: {problem}')
-    kept = all(verdict[item] == 0 for item in PROMISES)
-    kept = kept and verdict['requests'] > 0
-    kept = kept and verdict['config_in_force_s'] <= IN_FORCE_LIMIT_S
-    kept = kept and verdict['control_bytes_per_s_max'] <= CONTROL_LIMIT
+        log_progress(f'problem: {problem}')
+    passed = all(verdict[item] == 0 for item in ZERO_COUNTS)
+    passed = passed and verdict['requests'] > 0
+    passed = passed and verdict['config_in_force_s'] <= IN_FORCE_LIMIT_S
+    passed = passed and verdict['control_bytes_per_s_max'] <= CONTROL_LIMIT
     print(json.dumps(verdict))
-    return 0 if kept else 1
+    return 0 if passed else 1
 
 
 if __name__ == '__main__':
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,4 +1,4 @@
-"""Start and stop a whole deployment as processes on this machine."""
+"""Start and stop all processes of a deployment on this machine."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 import urllib.error
 import urllib.request
 
-#: Keys for demos and tests only.
+#: Keys for demos and tests only, in hexadecimal.
 SEAL_KEY = '00112233445566778899aabbccddeeff'
 HASH_KEY = 'ffeeddccbbaa99887766554433221100'
-#: Port of the agents' and balancers' admin pages, on their own addresses.
+#: Port of the admin pages on each agent's and balancer's own address.
 ADMIN_PORT = 5900
 BALANCER_PEER_PORT = 5700
 BALANCER_LISTEN_PORT = 5600
-#: Seconds that a process may take until it is ready.
-READY_S = 20.0
+#: Seconds in which a process must become ready.
+READY_TIMEOUT_S = 20.0
 
 
 class Ports(typing.NamedTuple):
@@ -32,7 +32,7 @@
 
 
 def get_json(url: str, *, timeout_s: float = 2.0) -> typing.Any:
-    """Return the JSON at a URL, or None if there is none."""
+    """Return the JSON at a URL, or None if the request fails."""
     try:
         with urllib.request.urlopen(url, timeout=timeout_s) as answer:
             return json.loads(answer.read())
@@ -40,8 +40,13 @@
         return None
 
 
-def put(url: str, body: typing.Any, *, method: str = 'PUT') -> typing.Any:
-    """Send a body and return the JSON that comes back, if any."""
+def send_body(
+    url: str, body: typing.Any, *, method: str = 'PUT'
+) -> typing.Any:
+    """Send a body and return the JSON of the answer, or None if empty.
+
+    :param body: bytes as they are; anything else is sent as JSON.
+    """
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method)
     with urllib.request.urlopen(request, timeout=5) as answer:
@@ -50,7 +55,11 @@
 
 
 class Deployment:
-    """A register, rules, and the processes that they call for."""
+    """The processes for a register and rules, and their stand-ins.
+
+    :ivar published: Unix seconds at which each revision was published.
+    :ivar balancers: number of balancers started so far.
+    """
 
     def __init__(
         self,
@@ -64,12 +73,12 @@
         service_s: float = 0.02,
         delay_s: float = 0.0045,
     ) -> None:
-        """Prepare; nothing is started before :meth:`start`.
+        """Describe a deployment; :meth:`start` starts it.
 
-        :param folder: takes logs and records; emptied of old ones.
-        :param network: second number of the balancers' addresses, 127.N.9.M.
-        :param service_s: mean time a server works on one request.
-        :param delay_s: one way between callers and system.
+        :param folder: for logs and records; old ones are deleted.
+        :param network: N in the addresses of balancers, 127.N.9.M.
+        :param service_s: mean service time of one request.
+        :param delay_s: one-way delay between callers and system.
         """
         self.register = register
         self.rules = rules
@@ -83,28 +92,28 @@
         self.published: dict[int, float] = {}
         self.balancers = 0
         folder.mkdir(parents=True, exist_ok=True)
-        for old in folder.glob('*.log*'):
-            old.unlink()
-        for old in folder.glob('*.record'):
-            old.unlink()
+        for stale in folder.glob('*.log*'):
+            stale.unlink()
+        for stale in folder.glob('*.record'):
+            stale.unlink()
 
     @property
     def platform(self) -> str:
-        """Return the platform's URL."""
+        """Return the URL of the configuration service."""
         return f'http://127.0.0.1:{self.ports.platform}'
 
-    def spawn(self, name: str, *words: str) -> subprocess.Popen:
-        """Start a process; its output goes to a log of its name."""
+    def spawn(self, name: str, *arguments: str) -> subprocess.Popen:
+        """Start a process; write its output to ``<name>.log``."""
         log = open(self.folder / f'{name}.log', 'ab')
         process = subprocess.Popen(
-            words, stdout=log, stderr=log, stdin=subprocess.DEVNULL
+            arguments, stdout=log, stderr=log, stdin=subprocess.DEVNULL
         )
         log.close()
         self.processes[name] = process
         return process
 
     def start(self, *, balancers: int = 3) -> None:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until they are ready."""
         self.start_platform()
         self.publish('register', self.register)
         self.publish('rules', self.rules)
@@ -126,10 +135,12 @@
             'standins.platform',
             str(self.ports.platform),
         )
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while get_json(f'{self.platform}/control') is None:
             if time.monotonic() > deadline:
-                raise RuntimeError('the platform stand-in does not start')
+                raise RuntimeError(
+                    'the configuration service did not answer in time'
+                )
             time.sleep(0.05)
 
     def start_fabric(self) -> None:
@@ -155,12 +166,14 @@
         )
 
     def set_faults(self, **faults: float) -> None:
-        """Make the fabric lose, double, reorder or delay packets."""
+        """Make the fabric drop, duplicate, reorder or delay packets."""
         body = {'delay_s': self.delay_s, **faults}
-        put(f'http://127.0.0.1:{self.ports.fabric_control}/control', body)
+        send_body(
+            f'http://127.0.0.1:{self.ports.fabric_control}/control', body
+        )
 
     def services_of(self, instance: str) -> list[dict[str, typing.Any]]:
-        """Return the services that the rules let an instance serve."""
+        """Return the services of which an instance is a target."""
         return [
             service
             for service in self.rules['services']
@@ -193,7 +206,7 @@
                 json.dumps(options),
             )
 
-    def _common(
+    def _common_arguments(
         self, name: str, data_centre: str, address: str, peer_port: int
     ) -> list[str]:
         return [
@@ -208,14 +221,14 @@
         ]
 
     def start_agent(self, instance: dict[str, typing.Any]) -> None:
-        """Start the agent in an instance's slot."""
+        """Start the agent of an instance and list it."""
         name = instance['name']
         self.spawn(
             f'agent-{name}',
             sys.executable,
             '-m',
             'teaseldock_agent.command',
-            *self._common(
+            *self._common_arguments(
                 name,
                 instance['data_centre'],
                 instance['address'],
@@ -232,7 +245,7 @@
         )
 
     def start_balancer(self) -> str:
-        """Start one more balancer and return its name."""
+        """Start another balancer, list it, and return its name."""
         self.balancers += 1
         name = f'balancer-{self.balancers}'
         centres = self.register['data_centres']
@@ -243,7 +256,7 @@
             sys.executable,
             '-m',
             'teaseldock_balancer.command',
-            *self._common(name, centre, address, BALANCER_PEER_PORT),
+            *self._common_arguments(name, centre, address, BALANCER_PEER_PORT),
             f'--listen={address}:{BALANCER_LISTEN_PORT}',
         )
         self.list_instance(
@@ -252,7 +265,7 @@
         return name
 
     def stop_balancer(self, name: str) -> None:
-        """Stop a balancer as a deployment tool does: list, then SIGTERM."""
+        """Stop a balancer: list it as leaving, then send SIGTERM."""
         self.list_instance(
             name,
             'balancer',
@@ -277,7 +290,7 @@
         *,
         leaving: bool = False,
     ) -> None:
-        """Put an instance on the live list."""
+        """Add an instance to the live list, or change its entry."""
         entry = {
             'name': name,
             'role': role,
@@ -287,17 +300,19 @@
             'listen': [address, BALANCER_LISTEN_PORT],
             'leaving_since': int(time.time() * 1000) if leaving else 0,
         }
-        put(f'{self.platform}/v1/instances', entry)
+        send_body(f'{self.platform}/v1/instances', entry)
 
     def unlist(self, name: str) -> None:
-        """Take an instance off the live list."""
-        put(f'{self.platform}/v1/instances?name={name}', b'', method='DELETE')
+        """Remove an instance from the live list."""
+        send_body(
+            f'{self.platform}/v1/instances?name={name}', b'', method='DELETE'
+        )
 
     def publish(self, key: str, content: typing.Any) -> int:
         """Publish a document and return its revision."""
         at = time.time()
         text = content if isinstance(content, bytes) else None
-        answer = put(
+        answer = send_body(
             f'{self.platform}/v1/documents/{key}?publisher=demo',
             text if text is not None else json.dumps(content).encode(),
         )
@@ -305,11 +320,11 @@
         return answer['revision']
 
     def set_platform(self, **order: typing.Any) -> None:
-        """Change the platform's mode or lag."""
-        put(f'{self.platform}/control', order)
+        """Change the mode of the configuration service or its list lag."""
+        send_body(f'{self.platform}/control', order)
 
     def admin_urls(self) -> dict[str, str]:
-        """Return the admin URL of each running process of the system."""
+        """Return the admin URL of each running agent and balancer, by name."""
         urls = {}
         for instance in self.register['instances']:
             if self.is_running(f'agent-{instance["name"]}'):
@@ -322,13 +337,13 @@
         return urls
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a process was started and has not ended."""
+        """Return whether a process was started and has not exited."""
         process = self.processes.get(name)
         return process is not None and process.poll() is None
 
     def wait_ready(self, names: list[str]) -> None:
-        """Wait until processes serve."""
-        deadline = time.monotonic() + READY_S
+        """Wait until processes are ready."""
+        deadline = time.monotonic() + READY_TIMEOUT_S
         urls = self.admin_urls()
         for name in names:
             while True:
@@ -336,7 +351,7 @@
                 if status and status['ready']:
                     break
                 if time.monotonic() > deadline:
-                    raise RuntimeError(f'{name} does not get ready')
+                    raise RuntimeError(f'{name} did not become ready in time')
                 time.sleep(0.05)
 
     def statuses(self) -> dict[str, typing.Any]:
@@ -349,11 +364,10 @@
         return found
 
     def in_force_seconds(self) -> float:
-        """Return the longest time from publishing to force, over all.
+        """Return the longest time until a revision was in force anywhere.
 
-        Each process is asked for its audit trail; revisions that a process
-        took over when it started count from its start only, so they are left
-        out if a newer one came with them.
+        It reads the audit trail of each process. What a process loads at its
+        start is left out: that may have been published before it ran.
         """
         longest = 0.0
         for url in self.admin_urls().values():
@@ -371,12 +385,12 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Send SIGKILL to a process and wait for its exit."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def stop(self) -> None:
-        """End all processes."""
+        """Kill all processes and wait for their exit."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,8 +1,9 @@
-"""Stand in for the fabric: spray each packet at random over the balancers.
+"""Simulate the fabric: send each packet to a random balancer.
 
-It owns the services' addresses. A caller's datagram gets a PROXY v2 header and
-goes to any balancer; an agent's answer loses it and goes to the caller from
-the service's address. It can drop, duplicate, reorder and delay.
+The fabric binds the addresses of the services. It adds a PROXY v2 header to a
+datagram of a caller and sends it to a random balancer. It removes the header
+from an answer of an agent and sends it to the caller from the address of the
+service. It can drop, duplicate, reorder and delay packets.
 """
 
 from __future__ import annotations
@@ -23,11 +24,15 @@
 from teaseldock_edge import sockets
 
 #: Seconds between two reads of the live list.
-POLL_S = 0.3
+LIST_INTERVAL_S = 0.3
 
 
 class Faults(typing.NamedTuple):
-    """Chances of faults for each packet, and delays in seconds."""
+    """Probabilities of faults for each packet, and delays in seconds.
+
+    :ivar delay_s: delay of every packet.
+    :ivar late_s: largest additional delay of a reordered packet.
+    """
 
     drop: float = 0.0
     duplicate: float = 0.0
@@ -37,12 +42,12 @@
 
 
 class Fabric:
-    """Carry packets both ways."""
+    """Forward packets in both directions."""
 
     def __init__(
         self, services: list[flow.Endpoint], faults: Faults, seed: int
     ) -> None:
-        """Prepare a socket for each service address."""
+        """Create a socket for each service address; :meth:`start` binds it."""
         self.faults = faults
         self.balancers: list[tuple[str, int]] = []
         self.random = random.Random(seed)
@@ -55,7 +60,10 @@
         self.inside = sockets.DatagramSocket(self._from_agent, place='inside')
 
     def start(self, inside: flow.Endpoint) -> None:
-        """Bind all addresses."""
+        """Bind all sockets.
+
+        :param inside: address for datagrams from agents.
+        """
         self.inside.start(bind=inside)
         for endpoint, item in self.sockets.items():
             item.start(bind=endpoint)
@@ -67,7 +75,7 @@
             key = flow.flow_key(flow.Endpoint(*address), service)
             packet = proxy_header.pack_plain(key, datagram)
             to = self.random.choice(self.balancers)
-            self._carry(lambda: self.inside.send(packet, to))
+            self._forward(lambda: self.inside.send(packet, to))
 
         return handle
 
@@ -79,9 +87,9 @@
         service = self.sockets.get(flow.caller_endpoint(key))
         caller = flow.service_endpoint(key)
         if service is not None:
-            self._carry(lambda: service.send(payload, tuple(caller)))
+            self._forward(lambda: service.send(payload, tuple(caller)))
 
-    def _carry(self, send: typing.Callable[[], None]) -> None:
+    def _forward(self, send: typing.Callable[[], None]) -> None:
         chance = self.random.random
         if chance() < self.faults.drop:
             return
@@ -92,8 +100,8 @@
                 delay += self.faults.late_s * chance()
             asyncio.get_running_loop().call_later(delay, send)
 
-    def follow(self, platform: str) -> None:
-        """Read the live list; keep the last one if there is no answer."""
+    def refresh_balancers(self, platform: str) -> None:
+        """Read the live list; keep the last one if the request fails."""
         with urllib.request.urlopen(
             f'{platform}/v1/instances', timeout=1
         ) as answer:
@@ -106,10 +114,10 @@
 
 
 class ControlHandler(web.RequestHandler):
-    """Let the demo and tests set faults."""
+    """Set faults for the demo and tests."""
 
     def initialize(self, fabric: Fabric) -> None:
-        """Take the fabric."""
+        """Store the fabric."""
         self.fabric = fabric
 
     def put(self) -> None:
@@ -118,7 +126,7 @@
 
 
 async def main(options: dict[str, typing.Any]) -> None:
-    """Carry packets until killed."""
+    """Forward packets until killed."""
     fabric = Fabric(
         [flow.parse_endpoint(text) for text in options['services']],
         Faults(**options['faults']),
@@ -134,11 +142,11 @@
     while True:
         try:
             await loop.run_in_executor(
-                None, fabric.follow, options['platform']
+                None, fabric.refresh_balancers, options['platform']
             )
         except (OSError, ValueError):
             pass
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(LIST_INTERVAL_S)
 
 
 if __name__ == '__main__':
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
-"""Stand in for the configuration service and the live list.
+"""Simulate the configuration service and the live list.
 
-Values have revisions, a watch is one long poll and counts as one read. The
-operators' side (publishing) is here too; the system itself never writes.
+Documents have revisions. A watch is one long poll and counts as one read.
+Operators publish documents here; the system itself only reads.
 """
 
 from __future__ import annotations
@@ -17,22 +17,30 @@
 
 
 class Platform:
-    """Hold documents and instances; can be down or stale."""
+    """Store documents and instances.
+
+    :ivar mode: ``up``, ``down`` (answers 503) or ``stale`` (returns the
+        documents as they were when the mode was set).
+    :ivar list_lag_s: age of the live list in answers.
+    :ivar reads: number of read requests.
+    """
 
     def __init__(self) -> None:
-        """Start empty and up."""
+        """Create an empty platform in mode ``up``."""
         self.revision = 0
         self.documents: dict[str, dict[str, typing.Any]] = {}
         self.instances: dict[str, dict[str, typing.Any]] = {}
-        self.listed: list[tuple[float, list[dict[str, typing.Any]]]] = []
+        self.list_snapshots: list[
+            tuple[float, list[dict[str, typing.Any]]]
+        ] = []
         self.list_lag_s = 0.5
         self.mode = 'up'
-        self.frozen: dict[str, typing.Any] = {}
+        self.stale_documents: dict[str, typing.Any] = {}
         self.reads = 0
         self.changed = asyncio.Event()
 
     def publish(self, key: str, publisher: str, content: str) -> int:
-        """Store a value under the next revision."""
+        """Store a document under the next revision and return that."""
         self.revision += 1
         self.documents[key] = {
             'key': key,
@@ -45,46 +53,46 @@
         return self.revision
 
     def answer(self, since: int) -> dict[str, typing.Any] | None:
-        """Return the documents newer than a revision, or None."""
+        """Return the documents newer than a revision, or None if none is."""
         documents = self.documents
         if self.mode == 'stale':
-            documents = self.frozen
+            documents = self.stale_documents
         fresh = [
             item for item in documents.values() if item['revision'] > since
         ]
         return {'documents': fresh} if fresh else None
 
     def set_mode(self, mode: str) -> None:
-        """Go up, down or stale; stale serves what stood until now."""
+        """Set the mode and wake all watches."""
         if mode == 'stale':
-            self.frozen = dict(self.documents)
+            self.stale_documents = dict(self.documents)
         self.mode = mode
         self.changed.set()
         self.changed = asyncio.Event()
 
     def set_instance(self, entry: dict[str, typing.Any]) -> None:
-        """Change an entry of the live list."""
+        """Add or replace an entry of the live list."""
         self.instances[entry['name']] = entry
-        self._remember()
+        self._append_snapshot()
 
     def remove_instance(self, name: str) -> None:
         """Remove an entry of the live list."""
         self.instances.pop(name, None)
-        self._remember()
+        self._append_snapshot()
 
-    def _remember(self) -> None:
+    def _append_snapshot(self) -> None:
         current = [dict(item) for item in self.instances.values()]
-        self.listed.append((time.monotonic(), current))
-        del self.listed[:-200]
+        self.list_snapshots.append((time.monotonic(), current))
+        del self.list_snapshots[:-200]
 
     def list_instances(self) -> list[dict[str, typing.Any]]:
-        """Return the list as it was some time ago."""
-        then = time.monotonic() - self.list_lag_s
-        seen = self.listed[0][1] if self.listed else []
-        for at, entries in self.listed:
-            if at <= then:
-                seen = entries
-        return seen
+        """Return the live list as it was ``list_lag_s`` ago."""
+        as_of = time.monotonic() - self.list_lag_s
+        visible = self.list_snapshots[0][1] if self.list_snapshots else []
+        for at, entries in self.list_snapshots:
+            if at <= as_of:
+                visible = entries
+        return visible
 
 
 class _Handler(web.RequestHandler):
@@ -102,7 +110,7 @@
     """Answer reads and watches."""
 
     async def get(self) -> None:
-        """Return news since a revision, waiting for it if asked."""
+        """Return documents newer than a revision; wait up to ``wait_s``."""
         self.platform.reads += 1
         if self._refuse_if_down():
             return
@@ -123,7 +131,7 @@
 
 
 class PublishHandler(_Handler):
-    """Take what operators publish."""
+    """Store documents that operators publish."""
 
     def put(self, key: str) -> None:
         """Store one document."""
@@ -134,12 +142,12 @@
 
 
 class InstancesHandler(_Handler):
-    """Answer the live list, and take changes of the deployment tool."""
+    """Return the live list, and apply changes of the deployment tool."""
 
     def get(self) -> None:
-        """Return the lagging list, or its part about one data centre.
+        """Return the delayed list, or its entries of one data centre.
 
-        Tornado adds an Etag and answers 304 to who has it.
+        Tornado adds an Etag and answers 304 if the reader sends it back.
         """
         self.platform.reads += 1
         if self._refuse_if_down():
@@ -153,7 +161,7 @@
         self.write({'instances': entries})
 
     def put(self) -> None:
-        """Change one entry."""
+        """Add or replace one entry."""
         self.platform.set_instance(json.loads(self.request.body))
 
     def delete(self) -> None:
@@ -162,19 +170,19 @@
 
 
 class ControlHandler(_Handler):
-    """Let the demo and tests make the platform fail."""
+    """Set faults of the platform for the demo and tests."""
 
     def get(self) -> None:
         """Return the number of reads."""
         self.write({'reads': self.platform.reads})
 
     def put(self) -> None:
-        """Change mode or lag."""
-        order = json.loads(self.request.body)
-        if 'mode' in order:
-            self.platform.set_mode(order['mode'])
-        if 'list_lag_s' in order:
-            self.platform.list_lag_s = order['list_lag_s']
+        """Set the mode or the list lag."""
+        settings = json.loads(self.request.body)
+        if 'mode' in settings:
+            self.platform.set_mode(settings['mode'])
+        if 'list_lag_s' in settings:
+            self.platform.list_lag_s = settings['list_lag_s']
 
 
 def build(platform: Platform) -> web.Application:
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,6 +1,6 @@
-"""Stand in for a backend server: slots, cold start, shedding, feeds, a log.
+"""Simulate a backend server with slots, cold start, shedding and feeds.
 
-The log names each request that truly ran; promises are judged by it.
+Its log lists each request that ran; the guarantees are checked against it.
 """
 
 from __future__ import annotations
@@ -15,17 +15,21 @@
 import aiocoap
 from aiocoap import resource
 
-#: Requests beyond the slots that the server holds before it sheds.
+#: Requests that the server queues beyond its slots before it sheds.
 BACKLOG = 4
-#: Seconds for which a new server is slow, and how much slower it is.
-COLD_S = 2.0
-COLD_FACTOR = 2.0
+#: Seconds after the start in which the server is slow, and the factor on its
+#: service time.
+WARMUP_S = 2.0
+WARMUP_FACTOR = 2.0
 #: Seconds between two notifications of a feed.
-FEED_S = 0.5
+FEED_INTERVAL_S = 0.5
 
 
 class Server:
-    """What all resources of one server share."""
+    """State that all resources of one server share.
+
+    :ivar pending: number of requests that run or wait for a slot.
+    """
 
     def __init__(self, options: dict[str, typing.Any]) -> None:
         """Open the log."""
@@ -35,12 +39,12 @@
         self.service_s = options['service_s']
         self.random = random.Random(options['seed'])
         self.log = open(options['log'], 'a', buffering=1)
-        self.waiting = 0
+        self.pending = 0
         self.semaphore = asyncio.Semaphore(self.slots)
         self.started_at = time.monotonic()
 
-    def note(self, kind: str, identity: str) -> None:
-        """Write what runs, before it runs."""
+    def log_run(self, kind: str, identity: str) -> None:
+        """Log a request before it runs."""
         line = {
             'at': time.time(),
             'server': self.name,
@@ -50,22 +54,22 @@
         }
         self.log.write(json.dumps(line) + '\n')
 
-    async def work(self, kind: str, identity: str) -> bool:
-        """Run one request, or shed it."""
-        if self.waiting >= self.slots + BACKLOG:
+    async def execute(self, kind: str, identity: str) -> bool:
+        """Run a request, or return False to shed it."""
+        if self.pending >= self.slots + BACKLOG:
             return False
-        self.waiting += 1
+        self.pending += 1
         try:
             async with self.semaphore:
-                self.note(kind, identity)
+                self.log_run(kind, identity)
                 factor = 1.0
-                if time.monotonic() - self.started_at < COLD_S:
-                    factor = COLD_FACTOR
+                if time.monotonic() - self.started_at < WARMUP_S:
+                    factor = WARMUP_FACTOR
                 await asyncio.sleep(
                     factor * self.random.expovariate(1 / self.service_s)
                 )
         finally:
-            self.waiting -= 1
+            self.pending -= 1
         return True
 
 
@@ -76,54 +80,54 @@
 
 
 class Entry(resource.Resource):
-    """A request that must not run twice: a pour order, an hours entry."""
+    """Run requests that must not run twice: pour orders, hours entries."""
 
     def __init__(self, server: Server, kind: str) -> None:
-        """Take the shared state."""
+        """Store the shared state."""
         super().__init__()
         self.server = server
         self.kind = kind
 
     async def render_post(self, request: aiocoap.Message) -> aiocoap.Message:
-        """Run the request and name it in the answer."""
+        """Run the request and return its id."""
         identity = request.payload.decode()
-        if not await self.server.work(self.kind, identity):
+        if not await self.server.execute(self.kind, identity):
             return _shed()
         return aiocoap.Message(code=aiocoap.CREATED, payload=identity.encode())
 
 
 class Upload(resource.Resource):
-    """A scan, sent in blocks."""
+    """Run uploads of several CoAP blocks: scans, contracts."""
 
     def __init__(self, server: Server, kind: str) -> None:
-        """Take the shared state."""
+        """Store the shared state."""
         super().__init__()
         self.server = server
         self.kind = kind
 
     async def render_put(self, request: aiocoap.Message) -> aiocoap.Message:
-        """Run the request and name it in the answer."""
+        """Run the request and return its id."""
         identity = request.payload[:64].decode().split('|')[0]
-        if not await self.server.work(self.kind, identity):
+        if not await self.server.execute(self.kind, identity):
             return _shed()
         body = f'{identity}|{len(request.payload)}'
         return aiocoap.Message(code=aiocoap.CHANGED, payload=body.encode())
 
 
 class Feed(resource.ObservableResource):
-    """A status or payslip feed."""
+    """Serve a status or payslip feed."""
 
     def __init__(self, server: Server) -> None:
-        """Take the shared state."""
+        """Store the shared state."""
         super().__init__()
         self.server = server
 
     def notify(self) -> None:
-        """Tell all observers."""
+        """Send a notification to all observers."""
         self.updated_state()
 
     async def render_get(self, request: aiocoap.Message) -> aiocoap.Message:
-        """Return the state, with the server's name."""
+        """Return the time, with the names of server and service."""
         identity = ''.join(request.opt.uri_query)
         body = json.dumps(
             {
@@ -137,10 +141,10 @@
 
 
 class Health(resource.Resource):
-    """A health endpoint that always says well."""
+    """Serve a health endpoint that always reports success."""
 
     async def render_get(self, request: aiocoap.Message) -> aiocoap.Message:
-        """Say well, whatever is true."""
+        """Return ``well``, whatever the state of the server."""
         return aiocoap.Message(payload=b'well')
 
 
@@ -159,7 +163,7 @@
         site, bind=(options['host'], options['port'])
     )
     while True:
-        await asyncio.sleep(FEED_S)
+        await asyncio.sleep(FEED_INTERVAL_S)
         feed.notify()
 
 
