--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,3 +1,3 @@
-"""Show deployments and how to embed the library."""
+"""Example deployments, and an example that embeds the library."""
 
 from __future__ import annotations
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,8 +1,9 @@
-"""Drive the decisions of a balancer and two agents without the programs.
+"""Embed the decisions of a balancer and an agent without the programs.
 
-An embedder supplies time, randomness and transport, and hands typed messages
-in and actions out. This example sends one request through and prints what the
-balancer and the agent decide.
+The embedding program supplies time, randomness and transport. It passes typed
+messages to the library and carries out the actions that it returns. This
+example passes one request through and prints the decisions of the balancer
+and the agent.
 """
 
 from __future__ import annotations
@@ -28,7 +29,10 @@
 
 
 def request(message_id: int, echo: bytes | None) -> bytes:
-    """Return a caller's upload, with a challenge if it has one."""
+    """Return an upload of a caller.
+
+    :param echo: the Echo value of a challenge, or None without one.
+    """
     message = aiocoap.Message(code=aiocoap.PUT, payload=b'body')
     message.opt.uri_path = ('scans',)
     message.opt.echo = echo
@@ -39,14 +43,14 @@
 
 
 def main() -> list[messages.Action]:
-    """Return the agent's challenge, and its request for the server."""
+    """Return the agent's challenge to the caller and request to the server."""
     documents = [
         configuration.Document(
             key, number, 'me', (FOLDER / f'{key}.json').read_bytes()
         )
         for number, key in enumerate(('register', 'rules'), start=1)
     ]
-    entry = balancer.Balancer(
+    entry_balancer = balancer.Balancer(
         own=roster.new_member(
             'entry',
             role='balancer',
@@ -58,14 +62,16 @@
         randomness=random.Random(1),
         now=0.0,
     )
-    entry.offer(documents, 0.0, wall_s=0.0)
+    entry_balancer.offer(documents, 0.0, wall_s=0.0)
     caller = flow.Endpoint('192.0.2.1', 4000)
     key = flow.flow_key(caller, flow.Endpoint('127.20.0.2', 5683))
-    found = balancer.node.explain(entry.view, key, hash_key=KEYS.flow_hash)
-    print(json.dumps(found))
+    explanation = balancer.node.explain(
+        entry_balancer.view, key, hash_key=KEYS.flow_hash
+    )
+    print(json.dumps(explanation))
     holder = agent.Agent(
         own=roster.new_member(
-            found['owner'],
+            explanation['owner'],
             role='agent',
             data_centre='yard-north',
             host='::',
@@ -77,7 +83,7 @@
         now=0.0,
     )
     holder.offer(documents, 0.0, wall_s=0.0)
-    number = entry.view.table.service('tickets').number
+    number = entry_balancer.view.table.service('tickets').number
     packet = proxy_header.Packet(
         key, number, 2, proxy_header.Role.PLACED, 0, request(1, None)
     )
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Test that the examples do what their pages say."""
+"""Test the examples as their documentation describes them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_embedding_needs_no_program() -> None:
-    """The decisions run on typed messages and a time alone."""
+    """The decisions need only typed messages and a time."""
     challenge, to_server = embed.main()
     assert isinstance(challenge, messages.ToCaller)
     assert isinstance(to_server, messages.ToServer)
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize('name', ['prairie', 'zilina'])
 def test_deployments_pass_the_check(name: str) -> None:
-    """Both users' documents are accepted as a whole."""
+    """The documents of both example deployments are valid."""
     documents = [
         configuration.Document(
             key, 1, 'x', (FOLDER / name / f'{key}.json').read_bytes()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Test the table of what callers lost, by cause."""
+"""Test the table of failed and delayed requests by cause."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from tools import explain
 
 
-def _text(at: float, event: str, **fields: object) -> str:
-    """Return a line with the number and name that may stand before it."""
+def _log_text(at: float, event: str, **fields: object) -> str:
+    """Return a log line with a time and a name before its JSON."""
     line = {'steady': 5.0, 'process': 'agent-1', 'event': event, **fields}
     return f'  {at} agent-1 {json.dumps(line)}'
 
 
-def _line(at: float, event: str, **fields: object) -> explain.Line:
-    """Return the same, read."""
-    line = explain.read_line(_text(at, event, **fields))
+def _log_line(at: float, event: str, **fields: object) -> explain.Line:
+    """Return a parsed log line."""
+    line = explain.read_line(_log_text(at, event, **fields))
     assert line is not None
     return line
 
 
 def test_lines_are_read_with_and_without_a_number_before_them() -> None:
-    """What is no line of a process is left out."""
+    """Invalid lines are skipped."""
     bare = json.dumps({'steady': 7.5, 'process': 'b', 'event': 'started'})
     assert explain.read_line(bare).at == 7.5
-    assert explain.read_line(_text(3.25, 'started')).at == 3.25
+    assert explain.read_line(_log_text(3.25, 'started')).at == 3.25
     assert explain.read_line('Traceback (most recent call last):') is None
     assert explain.read_line('3.0 agent-1 {"steady": ') is None
 
 
 def test_one_request_counts_once_for_each_cause() -> None:
-    """The first line of a cause leads to its first request."""
+    """A loss counts flows, not lines, and has the earliest line."""
     found = explain.losses(
         [
-            _line(9.0, 'request failed', flow='a', why='no answer'),
-            _line(8.0, 'request failed', flow='b', why='no answer'),
-            _line(8.5, 'request failed', flow='b', why='no answer'),
-            _line(7.0, 'flow lost', flow='c'),
+            _log_line(9.0, 'request failed', flow='a', why='no answer'),
+            _log_line(8.0, 'request failed', flow='b', why='no answer'),
+            _log_line(8.5, 'request failed', flow='b', why='no answer'),
+            _log_line(7.0, 'flow lost', flow='c'),
         ]
     )
     assert [(item.cause, item.requests) for item in found] == [
@@ -48,22 +48,24 @@
 
 
 def test_what_hurt_nobody_is_no_loss() -> None:
-    """First copies, short waits and searches that were quick."""
+    """First copies, short waits and quick searches are not losses."""
     assert not explain.losses(
         [
-            _line(1.0, 'placed', flow='a', copy=0),
-            _line(1.0, 'released', flow='a', waited_ms=10, aim_ms=200),
-            _line(1.0, 'flow found', flow='a', took_ms=12),
-            _line(1.0, 'changes in force'),
+            _log_line(1.0, 'placed', flow='a', copy=0),
+            _log_line(1.0, 'released', flow='a', waited_ms=10, aim_ms=200),
+            _log_line(1.0, 'flow found', flow='a', took_ms=12),
+            _log_line(1.0, 'changes in force'),
         ]
     )
 
 
 def test_a_folder_of_logs_becomes_a_table(tmp_path: pathlib.Path) -> None:
-    """Each row names cause, process and id."""
-    text = _text(4.0, 'refused', flow='1.2.3.4:5>6.7.8.9:10', why='no route')
+    """Each row has cause, process and flow."""
+    text = _log_text(
+        4.0, 'refused', flow='1.2.3.4:5>6.7.8.9:10', why='no route'
+    )
     (tmp_path / 'agent-1.log').write_text(text + '\nnonsense\n')
     lines = list(explain.read_logs([str(tmp_path)]))
-    rows = explain.table(explain.losses(lines)).splitlines()
+    rows = explain.format_table(explain.losses(lines)).splitlines()
     assert len(rows) == 2
     assert 'refused: no route; agent-1; 1.2.3.4:5>6.7.8.9:10' in rows[1]
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Test that the reference pages are what the code says."""
+"""Test that the reference pages match the code."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 @pytest.mark.parametrize('name', reference.PAGES)
 def test_page_is_up_to_date(name: str) -> None:
-    """A page that differs needs ``python -m tools.reference``."""
+    """On failure, run ``python -m tools.reference`` to update the page."""
     written = (reference.FOLDER / name).read_text()
     assert written == reference.PAGES[name]()
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,3 +1,3 @@
-"""Keep the repository in order; not part of the shipped packages."""
+"""Development tools; not part of the shipped packages."""
 
 from __future__ import annotations
--- a/tools/explain.py
+++ b/tools/explain.py
@@ -1,14 +1,14 @@
-"""Tell from processes' logs what callers lost, by cause.
+"""Count failed and delayed requests in the logs of processes, by cause.
 
 Usage:
   explain [--from=<s>] [--until=<s>] <log>...
 
 Options:
-  --from=<s>   Leave out lines before this steady or simulated second.
-  --until=<s>  Leave out lines after it.
+  --from=<s>   Skip lines before this second of steady or simulated time.
+  --until=<s>  Skip lines after this second.
 
-Each <log> is a file of lines as processes write them, or a folder of such
-files. A number and a name may stand before the JSON of a line.
+Each <log> is a log file of a process or a folder of such files. A time and
+a name may precede the JSON of a line.
 """
 
 from __future__ import annotations
@@ -21,9 +21,10 @@
 
 import docopt
 
-#: Copy of an opening beyond which its caller had waited for an answer.
+#: Number of the first copy of an opening. A later copy means that its caller
+#: waited for an answer in vain.
 _FIRST_COPY = 0
-#: Milliseconds that finding a flow may take unnoticed: callers repeat their
+#: Milliseconds after which the search for a flow is late: callers repeat their
 #: data after 200 ms.
 _FOUND_LATE_MS = 200
 
@@ -31,7 +32,7 @@
 class Line(typing.NamedTuple):
     """One line of a log.
 
-    :ivar at: the number that stands before the line, or its steady clock.
+    :ivar at: the time that precedes the line, or its steady clock, in seconds.
     """
 
     at: float
@@ -41,12 +42,12 @@
 
 
 class Loss(typing.NamedTuple):
-    """Requests that were hurt by one kind of decision.
+    """Requests that failed or were delayed for one cause.
 
-    :ivar cause: what happened, with the reason that the line gives.
-    :ivar requests: how many, by the id of their flow.
-    :ivar processes: how many processes decided so.
-    :ivar first: the first line of it.
+    :ivar cause: event, with the reason in the line if it has one.
+    :ivar requests: number of requests, counted by flow.
+    :ivar processes: number of processes that logged the cause.
+    :ivar first: earliest line with the cause.
     """
 
     cause: str
@@ -56,7 +57,7 @@
 
 
 def read_line(text: str) -> Line | None:
-    """Return a line of a log, None if it isn't one."""
+    """Parse a line of a log; return None if it is not valid."""
     head, brace, rest = text.partition('{')
     if not brace:
         return None
@@ -69,7 +70,7 @@
 
 
 def cause_of(line: Line) -> str | None:
-    """Return how a line's decision hurt its request, None if it didn't."""
+    """Return the cause that a line gives for a failure or delay, if any."""
     fields = line.fields
     if line.event in ('refused', 'request failed', 'given back'):
         return f'{line.event}: {fields.get("why", "")}'
@@ -87,7 +88,7 @@
 
 
 def losses(lines: typing.Iterable[Line]) -> list[Loss]:
-    """Return what requests lost, the cause with most requests first."""
+    """Return the losses by cause, the one with most requests first."""
     flows: collections.defaultdict[str, set[str]] = collections.defaultdict(
         set
     )
@@ -111,7 +112,7 @@
 
 
 def read_logs(paths: typing.Iterable[str]) -> typing.Iterator[Line]:
-    """Yield the lines of files, and of the files in folders."""
+    """Yield the valid lines of files and of the files in folders."""
     for name in paths:
         path = pathlib.Path(name)
         files = sorted(path.iterdir()) if path.is_dir() else [path]
@@ -123,8 +124,8 @@
                         yield line
 
 
-def table(found: list[Loss]) -> str:
-    """Return losses as a table in text."""
+def format_table(found: list[Loss]) -> str:
+    """Return losses as a text table."""
     rows = ['requests  processes  first at   cause; first decided by; its id']
     for loss in found:
         line = loss.first
@@ -137,7 +138,7 @@
 
 
 def main() -> int:
-    """Print the table; return 1 if no line could be read."""
+    """Print the table; return 1 if no line is valid and in the range."""
     options = docopt.docopt(__doc__)
     since = float(options['--from'] or '-inf')
     until = float(options['--until'] or 'inf')
@@ -147,9 +148,12 @@
         if since <= line.at <= until
     ]
     if not lines:
-        print('no line of a process in these files', file=sys.stderr)
+        print(
+            'no valid log line in these files and this range of time',
+            file=sys.stderr,
+        )
         return 1
-    print(table(losses(lines)))
+    print(format_table(losses(lines)))
     return 0
 
 
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write docs/reference from the code, so that it cannot drift."""
+"""Generate docs/reference from the code, so that both stay consistent."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from teaseldock_edge import settings
 
 FOLDER = pathlib.Path(__file__).parent.parent / 'docs' / 'reference'
-_NOTE = 'Written by `python -m tools.reference`; change the code instead.\n'
+_NOTICE = 'Written by `python -m tools.reference`; change the code instead.\n'
 
 
 def settings_page() -> str:
@@ -24,7 +24,7 @@
     lines = [
         '# Settings',
         '',
-        _NOTE,
+        _NOTICE,
         '| flag | variable | default | form | range | program | meaning |',
         '| --- | --- | --- | --- | --- | --- | --- |',
     ]
@@ -43,7 +43,7 @@
     lines = [
         '# Errors',
         '',
-        _NOTE,
+        _NOTICE,
         'Each message reads `CODE place: problem; remedy`.',
         '',
         '| code | kind | meaning | exit code |',
@@ -65,8 +65,8 @@
 
 
 def documents_page() -> str:
-    """Return the page of the register's and the rules' format."""
-    parts = ['# Register and rules', '', _NOTE]
+    """Return the page of the formats of register and rules."""
+    parts = ['# Register and rules', '', _NOTICE]
     parts.append(
         'Each document is JSON under a key of the configuration service: '
         '`register`, `rules`, or a part such as `rules.payroll`. All parts '
@@ -81,7 +81,7 @@
     return '\n'.join(parts)
 
 
-async def _statuses() -> list[tuple[str, dict[str, typing.Any]]]:
+async def _program_statuses() -> list[tuple[str, dict[str, typing.Any]]]:
     values = path._values()
     balancer = balancer_application.BalancerProgram(values)
     agent = agent_application.AgentProgram(values)
@@ -93,12 +93,12 @@
     lines = [
         '# Metrics',
         '',
-        _NOTE,
+        _NOTICE,
         'All are on `/metrics` of the admin address. Tables have a label',
         '`kind` for what has occurred, targets a label `service`.',
         '',
     ]
-    for program, status in asyncio.run(_statuses()):
+    for program, status in asyncio.run(_program_statuses()):
         lines.append(f'## {program}\n')
         collector = admin.StatusCollector(
             lambda found=status: found, program=program
