--- a/soak/checks.py
+++ b/soak/checks.py
@@ -16,8 +16,8 @@
 UNDISTURBED_S = 4.0
 #: Seconds by which an outage of the store may extend a bound.
 OUTAGE_ALLOWANCE_S = 12.0
-#: Lower bound of answered requests; failed requests of the quiet time at the
-#: end may be at most the rest, as a share of all answered requests.
+#: Share of requests that must be answered: those that fail in the quiet time
+#: at the end may be at most the rest, as a share of all answered ones.
 MIN_ANSWERED_SHARE = 0.98
 
 
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -59,7 +59,7 @@
 
     :ivar flows: the server's initial sequence number of each open flow.
     :ivar silent: whether the server ignores all packets.
-    :ivar disturbed_at: steady clock at the last crash or silence.
+    :ivar disturbed_at: steady clock at the last crash or end of a silence.
     """
 
     def __init__(
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -366,8 +366,9 @@
     def in_force_seconds(self) -> float:
         """Return the longest time until a revision was in force anywhere.
 
-        It reads the audit trail of each process. What a process loads at its
-        start is left out: that may have been published before it ran.
+        It reads the audit trail of each process. Records that add instances
+        are left out: a process writes them when it loads, at its start,
+        revisions that were published earlier.
         """
         longest = 0.0
         for url in self.admin_urls().values():
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -47,7 +47,7 @@
     assert found[0].first.fields['flow'] == 'b'
 
 
-def test_what_hurt_nobody_is_no_loss() -> None:
+def test_harmless_events_are_no_loss() -> None:
     """First copies, short waits and quick searches are not losses."""
     assert not explain.losses(
         [
