--- a/packages/teaseldock/teaseldock/packets/alerts.py
+++ b/packages/teaseldock/teaseldock/packets/alerts.py
@@ -1,10 +1,11 @@
-"""Keep the newest changes that a promise hangs on, apart from all others.
-
-The load it answers: a server leaves, a data centre is emptied or a route is
-dropped while a thousand new routes, or the start of half of the processes, use
-up what processes may send each other. What must be known within seconds is
-small; told in one stream with everything else, it waited for that: among 195
-processes on links of 2 to 200 Mbit/s, up to 6.9 s.
+"""Store the newest urgent changes, apart from all others.
+
+Servers leave, data centres are evacuated and routes are dropped while a
+thousand new routes, or the start of half of the processes, use up the bytes
+that processes may send each other. The changes that must be known within
+seconds are small. When they were sent in one stream with all others, they
+waited behind those: up to 6.9 s among 195 processes on links of 2 to 200
+Mbit/s.
 """
 
 from __future__ import annotations
@@ -14,18 +15,18 @@
 from teaseldock.packets import positions
 from teaseldock.packets import records
 
-#: Alerts kept for processes that lag: a release of 300 servers, each of which
-#: leaves and is gone. Whoever lags further needs all entries anyway.
+#: Alerts kept for lagging processes: a release of 300 servers, each of which
+#: leaves and is removed. A process that lags further needs all entries anyway.
 ALERTS_KEPT = 600
-#: Alerts in one answer: they fit into one datagram with names of 20 bytes.
+#: Alerts in one answer: with names of 20 bytes, they fit into one datagram.
 ALERTS_PER_ANSWER = 25
 
 
 class AlertLog:
-    """Alerts by the store's revision, complete from one revision on."""
+    """Log of alerts by the store's revision, complete after one revision."""
 
     def __init__(self) -> None:
-        """Start without an alert."""
+        """Create an empty log."""
         self._items: collections.deque[records.Alert] = collections.deque()
         self._latest: dict[tuple[int, str], int] = {}
         self._since: int | None = None
@@ -42,22 +43,23 @@
         return self._since or 0
 
     def start_at(self, revision: int) -> None:
-        """Note that all alerts after a revision will be here."""
+        """Set the revision after which the log is complete, if unset."""
         if self._since is None:
             self._since = revision
 
     def mark_incomplete(self, upto: int) -> None:
-        """Note that alerts up to a revision may be missing.
+        """Record that alerts up to a revision may be missing.
 
-        Whoever lacks them would take those that are here for all, and bring
-        flows to a server or a route that is gone, with proof that it isn't.
+        Otherwise a process that lacks them would take the alerts here for all,
+        and send flows to a server or over a route that is gone, with proof of
+        the contrary.
         """
         self._since = max(self.since, upto)
 
     def drop_other_eras(self, revision: int) -> None:
-        """Forget all of other eras than that of a revision.
+        """Drop the alerts of all eras but that of a revision.
 
-        The store's history before is not the one that goes on.
+        The store's earlier history does not continue.
         """
         items = [
             item
@@ -72,7 +74,7 @@
             self.add(item)
 
     def add(self, alert: records.Alert) -> bool:
-        """Keep an alert; tell whether it was not here yet."""
+        """Store an alert; return whether it was new."""
         key = alert.kind, alert.subject
         if self._latest.get(key, 0) >= alert.revision:
             return False
@@ -80,10 +82,10 @@
         self._newest = max(self._newest, alert.revision)
         self._items.append(alert)
         if len(self._items) > ALERTS_KEPT:
-            self._forget_oldest()
+            self._evict_oldest()
         return True
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         oldest = self._items.popleft()
         key = oldest.kind, oldest.subject
         if self._latest.get(key) == oldest.revision:
@@ -91,16 +93,16 @@
         self._since = max(self._since or 0, oldest.revision)
 
     def revision_of(self, kind: records.AlertKind, subject: str) -> int:
-        """Return the revision of the newest alert of a subject, 0 if none."""
+        """Return the revision of a subject's newest alert, 0 for none."""
         return self._latest.get((kind, subject), 0)
 
     def after(self, revision: int, upto: int) -> records.Alerts | None:
-        """Return what a process lacks that knows all alerts up to a revision.
+        """Return the alerts that a process with all up to a revision lacks.
 
         :param upto: revision up to which all alerts are known here.
-        :returns: None if nothing is known. Where some of what it lacks isn't
-            known or kept, the answer has what is, and goes no further than
-            the revision asked for.
+        :returns: None if nothing is known. If some of the missing alerts are
+            unknown or no longer kept, the answer has the others, and its
+            ``upto`` does not exceed the requested revision.
         """
         if self._since is None:
             return None
@@ -117,7 +119,7 @@
 
 
 def alert_for_removal(removal: records.Removal) -> records.Alert:
-    """Return the alert of an entry that is gone."""
+    """Return the alert of a removed entry."""
     kind = records.AlertKind.GONE
     if removal.overwritten:
         kind = records.AlertKind.OVERWRITTEN
@@ -125,7 +127,7 @@
 
 
 def removal_from_alert(alert: records.Alert) -> records.Removal | None:
-    """Return the removal that an alert tells of, or None."""
+    """Return the removal that an alert reports, or None."""
     if alert.kind == records.AlertKind.GONE:
         return records.Removal(alert.subject, alert.revision)
     if alert.kind == records.AlertKind.OVERWRITTEN:
@@ -134,14 +136,14 @@
 
 
 def alert_for_dropped_route(address: bytes, revision: int) -> records.Alert:
-    """Return the alert of a route that is dropped."""
+    """Return the alert of a dropped route."""
     kind = records.AlertKind.ROUTE_DROPPED
     return records.Alert(kind, address.hex(), revision)
 
 
 def dropped_route_address(alert: records.Alert) -> bytes:
-    """Return the packed address of a route that is dropped.
+    """Return the packed address of a dropped route.
 
-    :raises ValueError: if the subject is none.
+    :raises ValueError: if the subject is not hexadecimal.
     """
     return bytes.fromhex(alert.subject)
--- a/packages/teaseldock/teaseldock/packets/evacuations.py
+++ b/packages/teaseldock/teaseldock/packets/evacuations.py
@@ -1,4 +1,4 @@
-"""Keep which data centres the operator wants to get no new flows."""
+"""Store which data centres the operator has evacuated."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 
 class Evacuations:
-    """The newest request for each data centre, standing or taken back.
+    """The newest request for each data centre, active or withdrawn.
 
-    What was taken back is kept: a process that lags must be told, and an old
-    message must not bring the request back. There are as many as data centres.
+    Withdrawn requests are kept: lagging processes need them, and an old
+    message must not bring the request back. There are at most as many as data
+    centres.
     """
 
     def __init__(self) -> None:
-        """Start without a request."""
+        """Create a state without requests."""
         self._newest: dict[str, records.Evacuation] = {}
         self._active: frozenset[str] = frozenset()
-        # Those that stood before the store came back from an older copy, and
-        # until when they stand without being requested anew.
+        # Data centres that were evacuated before the store was restored from
+        # an older copy, and until when they stay so without a new request.
         self._retained: dict[str, float] = {}
         self._retained_upto = 0
 
@@ -29,21 +30,21 @@
         return self._active.union(self._retained)
 
     def retain_active(self, until: float, upto: int) -> None:
-        """Let all that stand now stand for a while, whatever a copy says.
+        """Keep the active evacuations for a while, whatever a copy says.
 
-        The store came back from an older copy, which may lack the request.
-        Flows would return to a data centre that is being emptied, until the
-        operator has written it again.
+        The store was restored from an older copy, which may lack the requests.
+        Otherwise flows would return to a data centre that is being emptied,
+        until the operator has written its request again.
 
         :param until: seconds on the clock of :meth:`expire_retained`.
-        :param upto: position up to which the copy was read; ends until then
-            only say that it lacks a request.
+        :param upto: position up to which the copy was read; an end at or
+            before it only means that the copy lacks a request.
         """
         self._retained_upto = upto
         self._retained = dict.fromkeys(self.active, until)
 
     def expire_retained(self, now: float) -> bool:
-        """End those that are held no longer; tell whether any ended."""
+        """End retained evacuations that are due; return whether any ended."""
         ended = [
             name for name, until in self._retained.items() if now >= until
         ]
@@ -54,7 +55,7 @@
     def apply(
         self, items: typing.Iterable[records.Evacuation]
     ) -> list[records.Evacuation]:
-        """Take over what is newer than what is known; return that."""
+        """Apply requests that are newer than the stored ones; return those."""
         fresh = [item for item in items if self._is_newer(item)]
         for item in fresh:
             if item.active or item.revision > self._retained_upto:
@@ -77,7 +78,7 @@
     def end_unlisted(
         self, listed: typing.Iterable[records.Evacuation], upto: int
     ) -> list[records.Evacuation]:
-        """End the requests that a complete read doesn't show; return the ends.
+        """End the requests that a full read doesn't list; return the ends.
 
         :param upto: position that the read covers.
         """
@@ -91,7 +92,7 @@
         return ended
 
     def since(self, revision: int) -> tuple[records.Evacuation, ...]:
-        """Return what is newer than a revision."""
+        """Return the requests that are newer than a revision."""
         return tuple(
             item for item in self._newest.values() if item.revision > revision
         )
--- a/packages/teaseldock/teaseldock/packets/freshness.py
+++ b/packages/teaseldock/teaseldock/packets/freshness.py
@@ -1,70 +1,72 @@
-"""Measure how old what a process knows may be at the most.
-
-It rests on an answer of the store, its own or one that came on from process to
-process; each hands on only what it has proof of. A process that hears others
-but can't get what they know sees its own age grow, and reads the store itself
-(see :mod:`teaseldock.packets.readers`): what others have confirmed is no proof
-of what is known here, nor is proof of alerts any of the configuration. So each
-is measured apart.
+"""Bound the age of changes that a process may lack.
+
+The bound rests on an answer of the store, received by the process itself or
+relayed from process to process; each relays only what it has proof of. A
+process that receives heartbeats but not the changes sees its own age grow, and
+reads the store itself (see :mod:`teaseldock.packets.readers`). What other
+processes have confirmed is no proof of the state here, and proof for alerts is
+no proof for the configuration, so each is measured separately.
 """
 
 from __future__ import annotations
 
 from teaseldock.packets import store_state
 
-#: Seconds beyond which a line tells that alerts may be missing. A watch takes
-#: 1.5 s and the way of its answer some rounds of heartbeats: proof is up to
-#: 2.4 s old among 40 processes that are well, and 3.2 s among 195 (played in
-#: virtual time).
+#: Age, seconds, above which a log line reports that alerts may be missing. A
+#: watch takes 1.5 s, and its answer some rounds of heartbeats to spread: in
+#: simulations, proof is up to 2.4 s old among 40 healthy processes, and up to
+#: 3.2 s among 195.
 STALE_S = 4.0
-#: Newest marks of what is known for which others' proof is kept.
+#: Number of marks, the newest, for which claims of other processes are kept.
 CLAIMS_KEPT = 16
 
 
 class Freshness:
-    """Until when a process surely knows all of one kind.
+    """Time up to which a process has proof that its state is complete.
 
-    What is known is told by one rising number, its mark: of alerts the
-    position of the newest, of configurations the version.
+    There is one instance for each kind of state. A rising number, the mark,
+    identifies what is known: for alerts the position of the newest one, for
+    configurations the version.
     """
 
     def __init__(self, now: float) -> None:
-        """Start with nothing known.
+        """Create a state without proof.
 
         :param now: when the process started.
         """
         self._known_at: float | None = None
-        # Until when others know all, by their marks, where those aren't
-        # reached here yet.
+        # Times up to which other processes have proof, by their marks, for
+        # marks that are not reached here yet.
         self._claims: dict[int, float] = {}
         self._started = now
         self._stale = False
 
     def age_s(self, now: float) -> float:
-        """Return the greatest age of something that isn't known here."""
+        """Return the greatest age of a change that may be missing, seconds."""
         since = self._started if self._known_at is None else self._known_at
         return max(0.0, now - since)
 
     def age_ms(self, now: float) -> int:
-        """Return the age to tell others, -1 if nothing is known."""
+        """Return the age to report to peers, ms; -1 without proof."""
         if self._known_at is None:
             return -1
         return round(1000 * self.age_s(now))
 
     def record_answer(self, now: float) -> None:
-        """Note an answer of the store that was taken over."""
+        """Record an answer of the store that was applied."""
         self._extend_proof(now)
 
     def merge_claim(
         self, mark: int, age_ms: int, now: float, *, known: int
     ) -> float | None:
-        """Take over how far another process knows all.
-
-        :param mark: of what it knows.
-        :param age_ms: greatest age of what it doesn't know; -1 if it knows
-            nothing.
-        :param known: mark of what is known here.
-        :returns: until when it knows all, if that holds here too.
+        """Merge another process's claim that its state is complete.
+
+        :param mark: of the other process's state.
+        :param age_ms: greatest age of a change that it may lack; -1 if it has
+            no proof.
+        :param known: mark of the state here.
+        :returns: time up to which its state is complete, if that holds here
+            too; otherwise None.
         """
         if age_ms < 0:
             return None
@@ -79,13 +81,13 @@
         return None
 
     def adopt_claims(self, known: int) -> None:
-        """Take over what others had proof of, now that it is known here.
+        """Adopt claims of other processes whose marks are now reached here.
 
-        Until their next word, a process that has just been told would take
-        itself for one that lags, and read the store: hundreds at once when
-        the store comes back.
+        Otherwise a process that has just received changes would look stale
+        until the next heartbeat, and read the store: hundreds at once when the
+        store returns.
 
-        :param known: mark of what is known here.
+        :param known: mark of the state here.
         """
         for mark in [item for item in self._claims if item <= known]:
             self._extend_proof(self._claims.pop(mark))
@@ -95,7 +97,7 @@
             self._known_at = at
 
     def staleness_change(self, now: float) -> bool | None:
-        """Tell once that it got old (True) or current again (False)."""
+        """Return True on turning stale, False on recovery, otherwise None."""
         old = self.age_s(now) > STALE_S
         if old == self._stale:
             return None
--- a/packages/teaseldock/teaseldock/packets/knowledge.py
+++ b/packages/teaseldock/teaseldock/packets/knowledge.py
@@ -1,11 +1,12 @@
-"""Keep what the store published, by position, and tell peers what they lack.
-
-All processes hold the same entries under the positions of the store's history.
-Whoever has a higher position sends the difference, so that few processes
-need to read the store. Revisions in this module are positions, see
-:mod:`teaseldock.packets.positions`: once one process has read a store that
-came back from an older copy, what it knows is newer than all from before, so
-that everybody asks for all of it once and serves by what it knew until then.
+"""Store what the configuration store published, and compute deltas for peers.
+
+All processes hold the same entries, ordered by positions in the store's
+history. A process with a higher position sends the difference to its peers, so
+that few processes need to read the store. Revisions in this module are
+positions, see :mod:`teaseldock.packets.positions`. Once one process has read a
+store that was restored from an older copy, its state has a higher position
+than any state from before the restore. All other processes then request the
+full state once, and serve from their previous state until it arrives.
 """
 
 from __future__ import annotations
@@ -20,12 +21,14 @@
 from teaseldock.packets import removed_targets
 from teaseldock.packets import route_table
 
-#: Routes dropped at once that alerts are sent for: all that an operator drops
-#: by hand. More of them come as fast with the other changes, as one list.
+#: Largest number of routes dropped by one configuration for which alerts are
+#: sent; operators drop fewer by hand. Larger drops arrive as fast with the
+#: other changes, as one list.
 MAX_ROUTE_ALERTS = 50
-#: Seconds within which the operator and the servers have written again what
-#: a store that came back from an older copy lacks: a heartbeat of a server
-#: and the way of its entry.
+#: Seconds for which evacuations stay active after the store was restored from
+#: an older copy. Within that time, the operator and the servers have written
+#: again what the copy lacks: it covers a heartbeat of a server and the
+#: propagation of its entry.
 EVACUATION_HOLD_S = 4.0
 
 
@@ -33,17 +36,17 @@
     """Targets and configuration up to one revision of the store."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
-        # All entries as they were published, and those of services that the
-        # configuration names as they are by newer alerts.
+        """Create an empty state at revision 0."""
+        # All entries as published. The registry has those of configured
+        # services, as modified by newer alerts.
         self._entries: dict[str, records.Target] = {}
         self._registry = registry.Registry()
         self._departures = departures.Departures()
         self._evacuations = evacuations.Evacuations()
         self._alerts = alert_logs.AlertLog()
         self._alerts_upto = 0
-        # Revision that the newest alert may have, if it is none that is known:
-        # a whole read tells of no entry that is gone.
+        # Upper bound of the newest alert's revision where it exceeds all known
+        # alerts: a full read does not list removed entries.
         self._newest_alert_limit = 0
         self._needs_full_sync = False
         self._removals = removals.RemovalLog()
@@ -56,54 +59,57 @@
 
     @property
     def revision(self) -> int:
-        """Return the store's revision up to which everything is known."""
+        """Return the store's revision up to which the state is complete."""
         return self._revision
 
     @property
     def content_revision(self) -> int:
-        """Return the revision of the newest change that is known.
+        """Return the revision of the newest relevant change that is known.
 
-        The store counts on while nothing that concerns us changes; comparing
-        this number keeps processes from sending each other nothing.
+        The store's revision also rises on writes that don't concern this
+        system. Comparing this revision instead keeps processes from sending
+        each other empty changes.
 
-        A read in several pages may hold an entry that is newer than what the
-        read covers, while older changes of earlier pages are missing. Telling
-        that entry's revision would make peers believe that they lack nothing:
-        a target would stay unknown to them until it changes again, and the
-        flows that it holds would be reset.
+        A read in several pages may hold an entry that is newer than the
+        revision that the read covers, while older changes on earlier pages are
+        missing. If the revision of that entry were reported, peers would
+        conclude that they lack nothing: a target would stay unknown to them
+        until it changes again, and the flows that it holds would be reset.
         """
         return min(self._content_revision, self._revision)
 
     @property
     def layout_revision(self) -> int:
-        """Return the revision of the newest change of where flows may be.
-
-        That is, of a configuration, or of an entry on an instance where none
-        was. Whoever knows less must not say that nobody holds a flow. Other
-        changes don't matter for that, and are many: 52 servers that start at
-        once write 100 entries a second while they warm up, and balancers that
-        waited for all of them reset lost flows after up to 0.85 s.
+        """Return the revision of the newest change in where flows may be.
+
+        Such a change is a new configuration, or an entry on an instance that
+        had no target. A process with a lower layout revision must not report
+        that no target holds a flow. Other changes don't affect this and are
+        frequent: 52 servers that start at once write 100 entries a second
+        while they warm up, and balancers that waited for all of these reset
+        lost flows only after up to 0.85 s.
         """
         return min(self._layout_revision, self._revision)
 
     @property
     def alerted(self) -> int:
-        """Return the revision of the newest alert, all before it known.
-
-        It may be beyond :attr:`content_revision`: alerts don't wait for
-        other changes. After a whole read, the newest alert may be of what is
-        gone, and is told as if it were as new as the read: told as the newest
-        that is known here, it would make others believe that they lack
-        nothing, and keep a server that is gone.
+        """Return the revision of the newest alert with no gap before it.
+
+        It may exceed :attr:`content_revision`, because alerts don't wait for
+        other changes. After a full read, the newest alert may concern a
+        removed entry, which the read doesn't list; its revision is then
+        assumed to be that of the read. If the newest alert stored here were
+        reported instead, peers would conclude that they lack nothing, and keep
+        a server that is gone.
         """
         newest = max(self._alerts.newest, self._newest_alert_limit)
         return min(newest, self._alerts_upto)
 
     def lower_newest_alert(self, newest: int) -> None:
-        """Take over from another process which alert is the newest.
+        """Lower the bound on the newest alert's revision to a peer's value.
 
-        :param newest: of all that were published before the last whole read
-            here was over.
+        :param newest: revision of the newest of all alerts that were published
+            before the last full read here ended.
         """
         self._newest_alert_limit = min(self._newest_alert_limit, newest)
 
@@ -114,7 +120,7 @@
 
     @property
     def changed_at(self) -> float:
-        """Return when the last change was taken over, seconds."""
+        """Return the time of the last applied change, seconds."""
         return self._changed_at
 
     @property
@@ -129,22 +135,22 @@
 
     @property
     def usable(self) -> bool:
-        """Tell whether packets can be served."""
+        """Return whether packets can be served."""
         return self._table.configuration is not None
 
     @property
     def targets(self) -> dict[str, records.Target]:
         """Return the registered targets by identifier.
 
-        An entry whose service the configuration doesn't name is none: other
-        writers leave such entries in the store. Its address answers nobody,
-        so that searches would wait for it.
+        Entries whose service is not in the configuration are left out. Other
+        writers leave such entries in the store; nothing answers at their
+        addresses, so searches would wait for them.
         """
         return self._registry.targets
 
     @property
     def entries_of_unknown_services(self) -> set[str]:
-        """Return entries whose service the configuration doesn't name."""
+        """Return identifiers of entries whose service is not configured."""
         return self._entries.keys() - self.targets.keys()
 
     def route(self, address: bytes) -> records.Route | None:
@@ -156,9 +162,9 @@
         return self._registry.of_service(service)
 
     def placeable(self, service: str) -> list[records.Target]:
-        """Return the targets of a service that may get new flows.
+        """Return the targets of a service that accept new flows.
 
-        Those that leave don't, nor those in an evacuated data centre.
+        Targets that are leaving and those in an evacuated data centre don't.
         """
         return self._registry.placeable(service)
 
@@ -175,26 +181,26 @@
         return [choice.service for choice in route.choices]
 
     def has_target_on(self, host: str) -> bool:
-        """Tell whether any target is registered on an instance."""
+        """Return whether a target is registered on an instance."""
         return host in self._registry.hosts
 
     def recently_removed(
         self, now: float
     ) -> list[removed_targets.RemovedTarget]:
-        """Return the targets that vanished a short while ago."""
+        """Return the targets whose entries were removed recently."""
         return self._removed.recent(now)
 
     def recently_expired(
         self, service: str, now: float
     ) -> list[records.Target]:
-        """Return targets whose entries expired a moment ago.
-
-        Entries expire while the store is away, and servers write them again
-        within about two seconds of its return. Without this all targets of a
-        service are gone for that time, though they serve. For use after an
-        outage only: otherwise a missing entry is gone. A target that said
-        that it leaves, or that has a successor at its address, has not
-        expired.
+        """Return targets of a service whose entries expired recently.
+
+        Entries expire while the store is unreachable, and servers write them
+        again within about two seconds of its return. Without this method, all
+        targets of a service would be unavailable for that time although they
+        serve. Use it only after an outage: otherwise a missing entry means
+        that the target is gone. A target that announced that it leaves, or
+        that has a successor at its address, has not expired.
         """
         return [
             target
@@ -205,21 +211,22 @@
         ]
 
     def apply(self, changes: records.Changes, now: float) -> bool:
-        """Take over changes; tell whether anything was new.
+        """Apply changes; return whether anything was new.
 
-        Each entry is compared by its own revision. Messages overtake each
-        other, and a read of a lagging replica returns old entries; taking
-        those over would bring a drained target or a dropped route back.
+        Each entry is compared by its own revision. Messages may be reordered,
+        and a read of a lagging replica returns old entries; applying those
+        would restore a drained target or a dropped route.
         """
         if changes.since > self._revision:
-            # Changes in between are missing; the sender will learn our
-            # revision from the next request and send them.
+            # Changes in between are missing. The next request tells the sender
+            # the revision known here, and the answer includes them.
             return False
         if changes.configuration_change and not self.usable:
             return False
         if self._digest_differs(changes.configuration_change):
-            # The sender has jumped over a version that is in force here, and
-            # can't tell what of it is gone; a dropped route would work on.
+            # The sender skipped a version that is in force here, so it can't
+            # list which of its routes are gone: a dropped route would stay in
+            # use.
             self._needs_full_sync = True
             return False
         if not changes.since:
@@ -238,13 +245,14 @@
         if rewound and not positions.same_era(
             self._content_revision, changes.upto
         ):
-            # Nothing in the copy has a position of its own; others must ask.
+            # No item of the copy has a position of its own in the new era;
+            # without this, peers would not request the state.
             self._raise_content_revision(changes.upto)
         if complete:
             self._removals.mark_incomplete(changes.upto)
             if changes.upto > self._alerts_upto:
                 self._newest_alert_limit = changes.upto
-        # A read of all tells of nothing that came and went before it.
+        # A full read doesn't show what was added and removed before it.
         alerts_since = changes.upto if complete else changes.alerts_since
         if alerts_since > self._alerts_upto:
             self._alerts.mark_incomplete(alerts_since)
@@ -253,19 +261,20 @@
         self._alerts.start_at(self._revision)
         self._alerts_upto = max(self._alerts_upto, self._revision)
         if changes.newest <= self._revision:
-            # Otherwise who never knew an entry that is gone would ask for its
-            # removal again and again.
+            # Otherwise a process that never had a removed entry would request
+            # its removal again and again.
             self._raise_content_revision(changes.newest)
         if fresh:
             self._rebuild(now)
         return fresh
 
     def _begin_era(self, changes: records.Changes, now: float) -> bool:
-        """Prepare for the first complete read of a new era, if this is it.
+        """Prepare for a full read of a new era; return whether it is one.
 
-        The store came back from a copy. What it lost will be written again:
-        until then servers that leave go on leaving, and data centres stay
-        evacuated. Nobody's alerts or removals of before can be completed.
+        The store was restored from a copy. Writes that it lost will be
+        repeated. Until then, leaving servers stay marked as leaving, and data
+        centres stay evacuated. No process can complete the alerts or removals
+        from before the restore.
         """
         known = self._revision
         if not known or positions.same_era(known, changes.upto):
@@ -280,7 +289,7 @@
         return True
 
     def expire_evacuations(self, now: float) -> bool:
-        """End evacuations that were not requested anew in time.
+        """End evacuations that were not requested again in time.
 
         :returns: whether any ended.
         """
@@ -298,7 +307,7 @@
 
     @property
     def wanted_since(self) -> int:
-        """Return the revision after which to ask for changes; 0 for all."""
+        """Return the revision after which to request changes; 0 for all."""
         return 0 if self._needs_full_sync else self.content_revision
 
     def _apply_configuration(self, changes: records.Changes) -> bool:
@@ -345,16 +354,18 @@
         self._alerts.add(records.Alert(kind, subject, revision))
 
     def alerts_after(self, revision: int) -> records.Alerts | None:
-        """Return the alerts that a process lacks, None if it needs all."""
+        """Return the alerts after a revision, None if nothing is known."""
         return self._alerts.after(revision, self._alerts_upto)
 
     def apply_alerts(self, alerts: records.Alerts, now: float) -> bool:
-        """Take over alerts, though other changes before them are missing.
+        """Apply alerts, even if other changes before them are missing.
 
-        Those come later, with entries as they were before; what an alert said
-        of them holds on (see :mod:`teaseldock.packets.departures`).
+        Those changes arrive later and have entries as they were before the
+        alerts. The alerts stay in effect (see
+        :mod:`teaseldock.packets.departures`).
 
-        :raises ValueError: if the subject of an alert can't be read.
+        :returns: whether any alert was new.
+        :raises ValueError: if the subject of an alert can't be parsed.
         """
         if alerts.since > self._alerts_upto or not self._revision:
             return False
@@ -384,7 +395,7 @@
         return fresh
 
     def _is_gone(self, target: records.Target) -> bool:
-        """Tell whether an alert said that an entry is gone by now."""
+        """Return whether an alert newer than an entry reports its removal."""
         return any(
             self._alerts.revision_of(kind, target.identifier) > target.revision
             for kind in (records.AlertKind.GONE, records.AlertKind.OVERWRITTEN)
@@ -399,13 +410,13 @@
         if known is not None and known.revision >= target.revision:
             return False
         if target.revision <= self._revision and not complete:
-            # What became of it up to our revision is known here: it has been
-            # removed since, or has but become warmer, and whoever sent it had
-            # not heard of that yet.
+            # The state here covers this revision already: the entry was
+            # removed since, or only its warm-up progressed, and the sender had
+            # not yet received that.
             return False
         self._removed.discard(target.run)
         if known is not None and known.place != target.place:
-            # The former run may hold flows where it was.
+            # The previous run may hold flows at its address.
             self._removed.add(known, now, expired=False)
         if not self.has_target_on(target.host):
             self._raise_layout_revision(target.revision)
@@ -421,7 +432,8 @@
         known = self._entries.get(removal.identifier)
         if known is None:
             if removal.revision > self._revision:
-                # Others may know the entry, and ask here what they lack.
+                # Peers may have the entry, and request changes from this
+                # process.
                 self._keep_removal(removal)
             return False
         if known.revision >= removal.revision:
@@ -436,18 +448,18 @@
         return True
 
     def _keep_removal(self, removal: records.Removal) -> None:
-        """Keep a removal for processes that lag, unless it is kept."""
+        """Store a removal for lagging processes, unless it is stored."""
         if not self._alerts.add(alert_logs.alert_for_removal(removal)):
             return
         self._removals.add(removal)
         self._raise_content_revision(removal.revision)
 
     def _is_redundant(self, later: records.Target) -> bool:
-        """Tell whether an entry need not be kept or told to others.
+        """Return whether an entry need not be stored or forwarded.
 
-        Only for the next event of the store's history: an entry that others
-        tell may have been something else in between, which a process that
-        heard of that is never told to be over.
+        Valid only for the next event of the store's history. An entry that a
+        peer sends may have had another state in between; a process that
+        received that state would never receive its end.
         """
         known = self._entries.get(later.identifier)
         if known is None or self._departures.is_alerted(known):
@@ -485,13 +497,13 @@
         self._departures.retain_only(runs | self._removed.runs)
 
     def changes_since(self, revision: int) -> records.Changes:
-        """Return what a peer at a revision lacks."""
+        """Return the changes that a peer at a revision lacks."""
         if revision < self._removals.since:
             revision = 0
         configuration = self._table.configuration
         change = None
         if configuration and revision:
-            # Only what is new of it, if anything is.
+            # Send only the difference, if there is one.
             change = self._table.change_since(revision)
             if change or configuration.revision <= revision:
                 configuration = None
@@ -499,7 +511,8 @@
             change = None
         alerts_since = self._alerts.since
         if configuration:
-            # Routes that came and went before it aren't told.
+            # The configuration doesn't list routes added and dropped before
+            # it.
             alerts_since = max(alerts_since, configuration.revision)
         return records.Changes(
             revision,
--- a/packages/teaseldock/teaseldock/packets/positions.py
+++ b/packages/teaseldock/teaseldock/packets/positions.py
@@ -1,10 +1,10 @@
-"""Order what the store published across returns from an older copy.
+"""Order the store's changes across restores from an older copy.
 
-A store that comes back from a copy gives revisions out again, so that a
-revision alone says neither what is newer nor what is the same. It tells how
-often it came back, its era. A position is the era and the revision in one
-number: positions compare by era first, and what is known under an older era
-loses against all that is read in a later one.
+A store that is restored from a copy assigns revisions again, so a revision
+alone shows neither which state is newer nor which states are equal. The store
+also reports its era: how often it was restored. A position combines the era
+and the revision in one number. Positions compare by era first: state of an
+older era is replaced by anything read in a later one.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 def make(era: int, revision: int) -> int:
     """Return the position of a revision.
 
-    :param era: how often the store came back from an older copy, 0 where it
-        doesn't tell.
+    :param era: how often the store was restored from an older copy, 0 if it
+        doesn't report that.
     """
     return era << REVISION_BITS | revision & _REVISION_MASK
 
@@ -35,5 +35,5 @@
 
 
 def same_era(one: int, other: int) -> bool:
-    """Tell whether two positions are of one history."""
+    """Return whether two positions belong to the same era."""
     return era(one) == era(other)
--- a/packages/teaseldock/teaseldock/packets/readers.py
+++ b/packages/teaseldock/teaseldock/packets/readers.py
@@ -1,9 +1,9 @@
 """Decide which processes read the store for all.
 
-The load it answers: hundreds of processes that need each change within
-seconds, before a store that bears a few thousand calls a second and charges
-each; readers that die, are cut off from the store or sit behind slim links;
-and a start of all at one moment, when nobody knows anything.
+Hundreds of processes need each change within seconds, from a store that
+handles a few thousand calls a second and charges for each. Readers die, are
+cut off from the store or are behind slow links, and all processes may start at
+once, without any state.
 """
 
 from __future__ import annotations
@@ -18,53 +18,56 @@
     from teaseldock.packets import freshness
     from teaseldock.packets import store_state
 
-#: Processes that read the store at a time. Two, so that the death of one
-#: delays nothing; each costs one call a change and one a WATCH_S.
+#: Processes that read the store at a time. With two, the death of one delays
+#: nothing; each costs one call for each change and one every WATCH_S.
 READERS = 2
-#: Processes that go on trying often while the store answers nobody: those
-#: first in rank, whether their calls fail or not.
+#: Processes that retry often while the store answers no process: the first in
+#: rank, whether their calls fail or not.
 PROBERS = 4
-#: Age of the newest confirmation by the store, seconds, beyond which others
-#: begin to read too: a watch is answered each 1.5 s at the latest, so an age
+#: Age of the newest answer of the store, seconds, above which other processes
+#: start to read too. A watch is answered after 1.5 s at the latest, so an age
 #: of 2 s means that both readers are gone. With the 0.3 s that a read takes on
-#: a slow store it keeps the 3 s that changes may take.
+#: a slow store, it keeps the 3 s that changes may take.
 TAKEOVER_S = 2.0
-#: Rounds that a confirmation takes to be known everywhere where not all hear
-#: each other in one round; added to the age above.
+#: Heartbeat rounds that an answer's age takes to reach all processes where one
+#: round doesn't; added to the age above.
 RELAY_ROUNDS = 2
-#: Seconds between two of those that take over, in order of rank.
+#: Seconds between the takeovers of two processes that are consecutive in rank.
 TAKEOVER_STEP_S = 0.25
-#: Seconds over which agents that take over are spread by rank: they know the
-#: balancers but not each other.
+#: Seconds over which takeovers of agents are spread by rank: agents have the
+#: balancers as peers, but not each other.
 AGENT_SPREAD_S = 1.5
-#: Seconds that a started balancer waits for a peer's word before it reads: a
-#: round trip to another data centre takes 3 ms, a full read costs two calls.
+#: Seconds that a started balancer waits for a heartbeat of a peer before it
+#: reads: a round trip to another data centre takes 3 ms, a full read costs two
+#: calls.
 START_WAIT_S = 0.04
-#: Seconds over which agents that hear of no answer of the store after their
-#: start are spread by rank; of 136, some 15 begin before the first is done.
+#: Seconds over which the first reads of agents are spread by rank if no answer
+#: of the store was reported since their start; of 136, about 15 begin before
+#: the first is done.
 COLD_SPREAD_S = 0.5
 
 
-#: Age of own proof, seconds, beyond which a process reads the store itself. A
-#: pause after changes and a watch take 1.65 s and the answer's way up to 0.9;
-#: with the spread below and a read it keeps the 3 s that changes may take.
+#: Age of own proof, seconds, above which a process reads the store itself. A
+#: pause after changes and a watch take 1.65 s, and the spread of the answer up
+#: to 0.9 s; with the spread below and a read, it keeps the 3 s that changes
+#: may take.
 PROOF_MAX_AGE_S = 2.6
-#: Seconds over which processes whose proof is old are spread by rank: those
-#: that are being told at that moment don't read.
+#: Seconds over which reads of processes with old proof are spread by rank, so
+#: that those that receive the changes meanwhile don't read.
 PROOF_SPREAD_S = 0.15
 
 
-#: Seconds within which each change must be in force where the operator does
-#: not say: the shortest that users ask for.
+#: Seconds within which each change must be in force if the operator sets no
+#: limit: the shortest that users ask for.
 IN_FORCE_S = 3.0
-#: Seconds that reading the store for one's own proof takes at the most, of
-#: those above: the spread, a tick, a call to a store that is 60 times slower
-#: than usual, and a request's own way.
+#: Part of that limit, seconds, kept for a read of the store on old proof: the
+#: spread, a tick, a call to a store that is 60 times slower than usual, and
+#: the transfer of a request.
 READ_MARGIN_S = 0.5
 
 
 class ReadReason(enum.Enum):
-    """Why a process reads the store."""
+    """Reasons for a process to read the store."""
 
     COLD_START = 'nobody has read yet'
     FIRST_IN_RANK = 'first in rank'
@@ -73,7 +76,7 @@
 
 
 class ReaderElection:
-    """Who reads, as one process sees it."""
+    """Election of the processes that read, as one process sees it."""
 
     def __init__(
         self,
@@ -87,9 +90,9 @@
         now: float,
         in_force_s: float = IN_FORCE_S,
     ) -> None:
-        """Start with this process among the others.
+        """Create the election state of this process.
 
-        :param proofs: of all kinds of knowledge that must not get old.
+        :param proofs: of all kinds of state that must not become stale.
         :param host: own IPv4 address.
         :param slim: whether the own link is too slow to read for others.
         :param in_force_s: seconds within which each change must be in force.
@@ -109,17 +112,18 @@
 
     @property
     def rank(self) -> int:
-        """Return how many processes came before this one, when reckoned."""
+        """Return the number of processes before this one when last ranked."""
         return self._rank
 
     def read_reason(self, now: float, *, leaving: bool) -> ReadReason | None:
         """Return why this process should read the store now, or None.
 
-        The living balancers first in rank do, those on wide links before
-        the others. Whoever hears that nobody had an answer for long reads
-        too, in order of rank: waiting for a dead or cut-off reader would keep
-        old rules in force, which shows as new flows at a drained target;
-        everybody reading at once would use up the store's rate.
+        The alive balancers that are first in rank read, those on fast links
+        before the others. If the newest answer of the store is old, others
+        read too, in order of rank. Waiting for a reader that is dead or cut
+        off would keep old rules in force, which shows as new flows at a
+        drained target; reads by all processes at once would use up the store's
+        rate.
 
         :param leaving: whether this process is about to stop.
         """
@@ -140,25 +144,25 @@
         return ReadReason.NOBODY_READS if age_s > wait_s else None
 
     def proof_age_s(self, now: float) -> float:
-        """Return the age of the oldest proof."""
+        """Return the age of the oldest proof, seconds."""
         return max(proof.age_s(now) for proof in self._proofs)
 
     def _relay_delay_s(self) -> float:
-        """Return the seconds that a confirmation takes beyond one round."""
+        """Return how long an answer spreads beyond one round, seconds."""
         if len(self._mesh.balancers()) <= mesh.FAN_OUT:
             return 0.0
         return RELAY_ROUNDS * mesh.ROUND_S
 
     def _has_old_proof(self, now: float) -> bool:
-        """Tell whether what is known here is older than may be.
-
-        That others had an answer of the store is no help to a process that
-        isn't told what it said, or hears only some that aren't told either.
-        Waiting for its turn, which comes later the more others it hears, or
-        for others, it would keep a server that left in use: new flows show
-        in that server's log, and no caller sees anything. So its own proof
-        decides, and the wait doesn't grow with the fleet. While the store
-        answers nobody, taking over by rank is enough.
+        """Return whether own proof is too old, after a delay spread by rank.
+
+        An answer that others got doesn't help a process to which the changes
+        are not sent, or whose peers lack them too. A takeover by rank comes
+        later the more peers a process has; until then it would keep a server
+        that left in use. New flows then show in that server's log only, and no
+        caller notices. So the own proof decides, and the wait doesn't grow
+        with the number of processes. While the store answers no process,
+        takeover by rank is enough.
         """
         usual_s = PROOF_MAX_AGE_S + self._relay_delay_s()
         limit_s = min(usual_s, self._max_proof_age_s)
@@ -172,15 +176,16 @@
         return now - self._proof_old_since >= wait_s
 
     def store_unreachable(self, now: float) -> bool:
-        """Tell whether the store has answered nobody for long."""
+        """Return whether the store has answered no process for long."""
         return self._state.unreachable(now, TAKEOVER_S + self._relay_delay_s())
 
     def _needs_cold_start_read(self, now: float) -> bool:
-        """Tell whether an agent should read because nobody has read yet.
+        """Return whether an agent should read because no process has read yet.
 
-        After a loss of all power the balancers on slim links all read at one
-        moment, each for over a second, and nothing is served. Agents have
-        wide links; those first in rank are done within some ten milliseconds.
+        After a total loss of power, all balancers on slow links would read at
+        once, each for over a second, and no packet would be served. Agents
+        have fast links; those first in rank are done within some ten
+        milliseconds.
         """
         if self._is_balancer or self._slim or self._state.failing:
             return False
@@ -190,15 +195,15 @@
         return now - self._started > wait_s
 
     def is_prober(self, now: float, *, leaving: bool) -> bool:
-        """Tell whether this process goes on calling a store that is away."""
+        """Return whether this process keeps calling an unreachable store."""
         self._rank_among(now, leaving=leaving)
         return self._rank_with_failing < PROBERS
 
     def _rank_among(self, now: float, *, leaving: bool) -> int:
-        """Return how many living balancers come before this process.
+        """Return the number of alive balancers that rank before this process.
 
-        Those whose calls to the store fail don't count. It is reckoned anew a
-        few times a second only: ticks ask for it.
+        Those whose calls to the store fail don't count. The result is cached
+        for a fraction of a second, because each tick requests it.
         """
         if self._ranked_at is not None:
             at, as_leaving = self._ranked_at
--- a/packages/teaseldock/teaseldock/packets/records.py
+++ b/packages/teaseldock/teaseldock/packets/records.py
@@ -1,4 +1,4 @@
-"""Hold what the configuration service publishes, in the product's words."""
+"""Define the records that the configuration store publishes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RequestKind(enum.IntEnum):
-    """What a caller may do after a request without an answer."""
+    """Kinds of requests: what a caller may do if no answer comes."""
 
     IDEMPOTENT = 0
     NON_IDEMPOTENT = 1
@@ -27,13 +27,13 @@
 
 
 class Route(typing.NamedTuple):
-    """Where new flows to one address go, and what they carry.
+    """The services that get new flows to one address, and limits of requests.
 
     :ivar address: IPv4 address and port, six bytes in network order.
     :ivar name: the operator's name of the route.
-    :ivar choices: services; mostly one.
+    :ivar choices: services; usually one.
     :ivar kind: a :class:`RequestKind`.
-    :ivar timeout_ms: time after which a caller gives a request up.
+    :ivar timeout_ms: time after which a caller gives up a request.
     :ivar aim_ms: latency objective of a request.
     :ivar priority: 0 is the highest.
     """
@@ -48,11 +48,12 @@
 
 
 class ColdLimit(typing.NamedTuple):
-    """What a server of one service may take while it is cold.
+    """Load limit of a service's servers during their warm-up.
 
     :ivar service: its name.
-    :ivar warmup_ms: how long a server stays cold after its start.
-    :ivar requests_per_s: requests that it bears meanwhile, over any second.
+    :ivar warmup_ms: duration of the warm-up after a server's start.
+    :ivar requests_per_s: largest number of requests within any second of the
+        warm-up.
     """
 
     service: str
@@ -63,12 +64,12 @@
 class Configuration(typing.NamedTuple):
     """One published configuration.
 
-    :ivar version: rises with each publication, not by one.
-    :ivar revision: the store's revision of it.
-    :ivar idle_timeout_ms: idle time after which a flow may be forgotten.
+    :ivar version: rises with each publication, not necessarily by one.
+    :ivar revision: the store's revision of this configuration.
+    :ivar idle_timeout_ms: idle time after which a flow may be dropped.
     :ivar routes: all routes.
     :ivar services: the names of all services.
-    :ivar cold_limits: of the services that have one.
+    :ivar cold_limits: limits of the services that have one.
     """
 
     version: int
@@ -79,7 +80,7 @@
     cold_limits: tuple[ColdLimit, ...] = ()
 
     def cold_limit(self, service: str) -> ColdLimit | None:
-        """Return the limit of a service's cold servers, None for none."""
+        """Return the warm-up limit of a service's servers, None for none."""
         for limit in self.cold_limits:
             if limit.service == service:
                 return limit
@@ -87,21 +88,24 @@
 
 
 class ConfigurationChange(typing.NamedTuple):
-    """What is new of a configuration, for whoever has an earlier one.
+    """Difference between a configuration and an earlier one.
 
-    A change of one timeout beside 1,600 routes takes 100 bytes so, in place of
-    7 KB for each of 200 processes. It comes with :class:`Changes`, and can be
-    made by whoever knows all up to the revision after which those begin.
+    A change of one timeout among 1,600 routes takes 100 bytes in this form,
+    instead of 7 KB for each of 200 processes. It is sent with
+    :class:`Changes`, and can be applied by a process whose state is complete
+    up to the revision after which those changes start.
 
-    :ivar version: of the configuration that results, as are the next three.
+    :ivar version: of the resulting configuration, as are the next three
+        fields.
     :ivar revision: the store's revision of it.
     :ivar idle_timeout_ms: see :class:`Configuration`.
     :ivar services: the names of all services.
     :ivar routes: routes that are new or have changed.
     :ivar dropped: addresses of routes that are gone.
     :ivar cold_limits: see :class:`Configuration`.
-    :ivar digest: of all routes that result; whoever gets another one has had
-        a version in between that the sender never saw, and needs all routes.
+    :ivar digest: checksum of all resulting routes. A receiver that computes
+        another one has applied a version that the sender never had, and needs
+        all routes.
     """
 
     version: int
@@ -117,17 +121,17 @@
 class Target(typing.NamedTuple):
     """One run of a backend server, as it registered itself.
 
-    :ivar identifier: of the server; mostly, a restarted one has another.
+    :ivar identifier: of the server; a restarted one usually has another.
     :ivar service: the service that it runs.
     :ivar host: IPv4 address of its instance.
     :ivar port: port of the server itself.
     :ivar data_centre: where it runs.
-    :ivar slots: requests that it runs at once.
-    :ivar draining: whether it leaves.
-    :ivar warmup_ms: how long it was to stay slow when this was written.
+    :ivar slots: number of requests that it runs concurrently.
+    :ivar draining: whether it is leaving.
+    :ivar warmup_ms: rest of the warm-up when this entry was written.
     :ivar revision: the store's revision of this entry.
     :ivar born_ms: Unix milliseconds of the server's start by its own clock; 0
-        if it doesn't tell. Only for telling two runs apart.
+        if not reported. Used only to tell two runs apart.
     """
 
     identifier: str
@@ -143,22 +147,23 @@
 
     @property
     def run(self) -> tuple[str, int]:
-        """Return what tells this run of the server from any other.
+        """Return the key that tells this run of the server from any other.
 
-        A server may start again under the identifier that it had. It then
-        knows nothing of before; taken for the same run, it would be thought
+        A server may start again under the identifier that it had, without its
+        former state. If it were treated as the same run, it would be assumed
         to hold flows that are lost, and to be warm.
         """
         return self.identifier, self.born_ms
 
     def differs_only_in_warmup(self, later: Target) -> bool:
-        """Tell whether a later entry says only that the warm-up goes on.
-
-        Servers that warm up write that each second or so; whoever knows when
-        an entry was first seen and how long the warm-up was lacks nothing.
-        Passed on, these entries of 64 servers that a release replaces were
-        most of what 195 processes told each other, so that some of them heard
-        after more than 6 s that a server leaves.
+        """Return whether a later entry only reports warm-up progress.
+
+        Servers that warm up write such an entry about every second. A process
+        that stores when an entry was first seen, and the length of the warm-up
+        then, needs none of them. When they were forwarded, those of 64 servers
+        being replaced by a release made up most of the messages among 195
+        processes, so that some processes learned only after more than 6 s that
+        a server leaves.
         """
         if later.warmup_ms >= self.warmup_ms:
             return False
@@ -168,17 +173,17 @@
 
     @property
     def place(self) -> tuple[str, str, int]:
-        """Return the service and address that the flows of it are at."""
+        """Return the service and address at which its flows are."""
         return self.service, self.host, self.port
 
 
 class Removal(typing.NamedTuple):
-    """An entry that is gone.
+    """Removal of an entry.
 
     :ivar identifier: of the target.
     :ivar revision: the store's revision of its removal.
-    :ivar overwritten: whether something else stands there now that names no
-        target; otherwise the entry is gone, or has expired.
+    :ivar overwritten: whether its key now holds something that is not a
+        target; otherwise the entry was deleted or has expired.
     """
 
     identifier: str
@@ -187,11 +192,11 @@
 
 
 class Evacuation(typing.NamedTuple):
-    """Whether the operator wants a data centre to get no new flows.
+    """Request that a data centre get no new flows, or its withdrawal.
 
-    :ivar data_centre: its name; no target need be there.
-    :ivar revision: the store's revision of the request, or of its end.
-    :ivar active: whether it stands; otherwise it was taken back.
+    :ivar data_centre: its name; it need not have targets.
+    :ivar revision: the store's revision of the request, or of its withdrawal.
+    :ivar active: whether the request is in force; otherwise it was withdrawn.
     """
 
     data_centre: str
@@ -200,7 +205,7 @@
 
 
 class AlertKind(enum.IntEnum):
-    """What a promise hangs on, so that it must be known within seconds."""
+    """Kinds of changes that must reach all processes within seconds."""
 
     LEAVES = 0
     GONE = 1
@@ -210,11 +215,11 @@
 
 
 class Alert(typing.NamedTuple):
-    """One change that must be known within seconds, in some 40 bytes.
+    """One change that must reach all processes within seconds, about 40 bytes.
 
     :ivar kind: an :class:`AlertKind`.
-    :ivar subject: identifier of a target, name of a data centre, or address
-        of a route in hexadecimal digits.
+    :ivar subject: identifier of a target, name of a data centre, or address of
+        a route in hexadecimal digits.
     :ivar revision: the store's revision of the change.
     """
 
@@ -226,11 +231,11 @@
 class Alerts(typing.NamedTuple):
     """Alerts after a revision.
 
-    :ivar since: revision after which they were asked for.
-    :ivar upto: revision up to which the receiver knows all afterwards; no
-        later than ``since`` where the sender doesn't know all.
+    :ivar since: revision after which they were requested.
+    :ivar upto: revision up to which the receiver has all alerts afterwards;
+        not above ``since`` if the sender doesn't have all.
     :ivar items: the alerts, oldest first.
-    :ivar kept_since: revision after which the sender knows all.
+    :ivar kept_since: revision after which the sender has all alerts.
     """
 
     since: int
@@ -240,28 +245,29 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether none after ``since`` is missing."""
+        """Return whether no alert after ``since`` is missing."""
         return self.kept_since <= self.since
 
 
 class Changes(typing.NamedTuple):
-    """What one process, or the store, knows beyond a revision.
+    """Changes after a revision, from a process or from the store.
 
-    :ivar since: revision after which all changes are here; 0 when these are
-        all entries there are, so that any other entry is gone.
-    :ivar upto: revision that the receiver knows completely afterwards.
+    :ivar since: revision after which all changes are included; 0 if these are
+        all existing entries, so that any other entry is gone.
+    :ivar upto: revision up to which the receiver's state is complete
+        afterwards.
     :ivar targets: entries written.
     :ivar removals: entries removed.
-    :ivar configuration: the newest, if it changed.
-    :ivar configuration_change: in place of it, what changed in it.
-    :ivar newest: revision of the newest change that the sender knows of; 0
-        from the store. It may be of an entry that is gone by now.
-    :ivar evacuations: of data centres, requested or taken back.
-    :ivar alerts_since: revision after which no alert is missing here; before
-        it, an entry or a route may have come and gone unseen.
-    :ivar superseded: entries written that something later here replaced; from
-        the store only, as are the next.
-    :ivar superseded_removals: entries removed that were written again.
+    :ivar configuration: the newest one, if it changed.
+    :ivar configuration_change: the difference to it, sent in its place.
+    :ivar newest: revision of the newest change that the sender has; 0 from the
+        store. The entry of that change may be gone.
+    :ivar evacuations: of data centres, requested or withdrawn.
+    :ivar alerts_since: revision after which no alert is missing; an entry or a
+        route that was added and removed before it may be missing.
+    :ivar superseded: entries written that a later item here replaces; only
+        from the store, like the next field.
+    :ivar superseded_removals: removals of entries that were written again.
     """
 
     since: int
@@ -278,15 +284,15 @@
 
     @property
     def has_all_events(self) -> bool:
-        """Tell whether these are all events that the store saw since then.
+        """Return whether these are all events in the store after ``since``.
 
-        Of what another process tells, or a read of all shows, it isn't known
-        what an entry was in between.
+        Changes from another process and full reads don't show an entry's
+        intermediate states.
         """
         return self.since > 0 and not self.newest
 
     def in_order(self) -> list[Target | Removal]:
-        """Return what was written and removed as it came one after another."""
+        """Return written and removed entries in order of their revisions."""
         items = [
             *self.removals,
             *self.superseded_removals,
--- a/packages/teaseldock/teaseldock/packets/registry.py
+++ b/packages/teaseldock/teaseldock/packets/registry.py
@@ -1,4 +1,4 @@
-"""Give the registered targets as packets are placed by."""
+"""Index the registered targets for the placement of packets."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Registry:
-    """Targets by identifier, by service and by instance, at one moment."""
+    """Snapshot of targets, indexed by identifier, service and instance."""
 
     def __init__(
         self,
         targets: typing.Iterable[records.Target] = (),
         evacuated: frozenset[str] = frozenset(),
     ) -> None:
-        """Sort the targets.
+        """Index the targets.
 
         :param evacuated: data centres that get no new flows.
         """
@@ -38,7 +38,7 @@
 
     @property
     def hosts(self) -> set[str]:
-        """Return the instances that have a target."""
+        """Return the IPv4 addresses of the instances that have a target."""
         return self._hosts
 
     def of_service(self, service: str) -> list[records.Target]:
@@ -46,11 +46,14 @@
         return self._services.get(service, [])
 
     def placeable(self, service: str) -> list[records.Target]:
-        """Return the targets of a service that may get new flows."""
+        """Return the targets of a service that accept new flows."""
         return self._placeable.get(service, [])
 
     def accepts_new_flows(self, target: records.Target) -> bool:
-        """Tell whether a target doesn't leave, nor its data centre is."""
+        """Return whether a target may be given new flows.
+
+        It may not while it is leaving or its data centre is evacuated.
+        """
         return (
             not target.draining and target.data_centre not in self._evacuated
         )
--- a/packages/teaseldock/teaseldock/packets/removals.py
+++ b/packages/teaseldock/teaseldock/packets/removals.py
@@ -1,4 +1,4 @@
-"""Keep removals of entries for processes that lag."""
+"""Store removals of entries for lagging processes."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import records
 
-#: Removals remembered for peers that lag; a peer that lags further gets all
-#: entries. Ten times the largest fleet of targets that one process serves.
+#: Removals kept for lagging peers: ten times the largest number of targets
+#: that one process serves. A peer that lags further gets all entries.
 REMOVALS_KEPT = 600
 
 
 class RemovalLog:
-    """The newest removals, complete from one position on."""
+    """Log of the newest removals, complete after one position."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty log."""
         self._items: collections.deque[records.Removal] = collections.deque(
             maxlen=REMOVALS_KEPT
         )
@@ -29,17 +29,17 @@
         return self._since
 
     def mark_incomplete(self, position: int) -> None:
-        """Note that removals up to a position may be missing."""
+        """Record that removals up to a position may be missing."""
         self._since = position
 
     def clear(self) -> None:
-        """Forget all: they are of a history that doesn't go on."""
+        """Drop all removals: they belong to a history that has ended."""
         self._items.clear()
 
     def add(self, removal: records.Removal) -> None:
-        """Keep a removal, in place of the first that came if need be."""
+        """Store a removal; evict the one added first if the log is full."""
         if len(self._items) == REMOVALS_KEPT:
-            # Alerts come out of order: the first is not always the oldest.
+            # Alerts arrive out of order: the first is not always the oldest.
             self._since = max(self._since, self._items[0].revision)
         self._items.append(removal)
 
--- a/packages/teaseldock/teaseldock/packets/removed_targets.py
+++ b/packages/teaseldock/teaseldock/packets/removed_targets.py
@@ -1,4 +1,4 @@
-"""Remember targets whose entries are gone: they may hold flows, or serve."""
+"""Store targets whose entries are gone: they may still hold flows or serve."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 if typing.TYPE_CHECKING:
     from teaseldock.packets import records
 
-#: Seconds for which an entry that vanished without a drain stays usable: the
-#: users' two seconds until a missing entry counts as gone.
+#: Seconds for which a target stays usable after its entry disappeared without
+#: a drain: users count a missing entry as gone after two seconds.
 EXPIRED_USABLE_S = 2.0
-#: Seconds for which a vanished target may still hold flows.
+#: Seconds for which a removed target may still hold flows.
 REMOVED_KEPT_S = 20.0
 
 
@@ -18,8 +18,9 @@
     """A target whose entry was removed.
 
     :ivar target: its last entry.
-    :ivar at: when the removal became known here, seconds.
-    :ivar expired: whether it may have expired for want of the store.
+    :ivar at: when this process received the removal, seconds.
+    :ivar expired: whether the entry may have expired because the store was
+        unreachable.
     """
 
     target: records.Target
@@ -28,29 +29,29 @@
 
 
 class RemovedTargets:
-    """Runs of servers whose entries went a short while ago."""
+    """Runs of servers whose entries were removed recently."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._items: dict[tuple[str, int], RemovedTarget] = {}
 
     @property
     def runs(self) -> typing.KeysView[tuple[str, int]]:
-        """Return the runs that are remembered."""
+        """Return the keys of the stored runs."""
         return self._items.keys()
 
     def add(
         self, target: records.Target, now: float, *, expired: bool
     ) -> None:
-        """Note that a run's entry is gone."""
+        """Store a run whose entry was removed."""
         self._items[target.run] = RemovedTarget(target, now, expired)
 
     def discard(self, run: tuple[str, int]) -> None:
-        """Forget a run whose entry is back."""
+        """Drop a run whose entry exists again."""
         self._items.pop(run, None)
 
     def recent(self, now: float) -> list[RemovedTarget]:
-        """Return those that may still hold flows."""
+        """Return the targets that may still hold flows."""
         return [
             item
             for item in self._items.values()
@@ -58,7 +59,7 @@
         ]
 
     def recently_expired(self, now: float) -> list[records.Target]:
-        """Return those that may have expired a moment ago and still serve."""
+        """Return the targets that may have just expired and still serve."""
         return [
             item.target
             for item in self._items.values()
@@ -66,7 +67,7 @@
         ]
 
     def prune(self, now: float) -> None:
-        """Forget those that went long ago."""
+        """Drop the targets that no longer hold flows."""
         self._items = {
             run: item
             for run, item in self._items.items()
--- a/packages/teaseldock/teaseldock/packets/route_table.py
+++ b/packages/teaseldock/teaseldock/packets/route_table.py
@@ -1,4 +1,4 @@
-"""Keep the routes in force, and since when each is as it is."""
+"""Store the routes in force, and the revision at which each last changed."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 from teaseldock.packets import positions
 from teaseldock.packets import records
 
-#: Dropped routes remembered for processes that lag; whoever lags further gets
-#: the whole configuration. A configuration of 1,600 routes may go at once.
+#: Dropped routes kept for lagging processes; a process that lags further gets
+#: the whole configuration. All 1,600 routes of a configuration may be dropped
+#: at once.
 DROPPED_KEPT = 4000
 
 
 def digest(routes: dict[bytes, records.Route]) -> int:
-    """Return a number that tells sets of routes apart."""
+    """Return a checksum of a set of routes."""
     ordered = [routes[address] for address in sorted(routes)]
     return zlib.crc32(msgspec.msgpack.encode(ordered))
 
 
 class RouteTable:
-    """The newest configuration, and what has changed on the way to it."""
+    """The newest configuration, and the changes that led to it."""
 
     def __init__(self) -> None:
-        """Start before the first configuration."""
+        """Create an empty table, before the first configuration."""
         self._configuration: records.Configuration | None = None
         self._routes: dict[bytes, records.Route] = {}
-        # Revisions at which a route was last seen to change, or to go.
+        # Revisions at which a route was last found changed, or dropped.
         self._changed: dict[bytes, int] = {}
         self._dropped: dict[bytes, int] = {}
         self._known_since = 0
-        # Routes dropped by a configuration that isn't here yet.
+        # Routes dropped by a configuration that has not arrived yet.
         self._disabled: dict[bytes, int] = {}
         self._last_dropped: list[bytes] = []
         self._digest = 0
@@ -44,7 +45,7 @@
 
     @property
     def version(self) -> int:
-        """Return its version, 0 before the first."""
+        """Return the configuration's version, 0 before the first."""
         return self._configuration.version if self._configuration else 0
 
     def route(self, address: bytes) -> records.Route | None:
@@ -59,7 +60,7 @@
         return self._last_dropped
 
     def disable_route(self, address: bytes, revision: int) -> None:
-        """Use a route no longer, until a configuration of that revision.
+        """Stop using a route until a configuration of a revision arrives.
 
         :param revision: of the configuration that drops it.
         """
@@ -74,15 +75,16 @@
         *,
         also_dropped: typing.Iterable[bytes] = (),
     ) -> bool:
-        """Take over a configuration; tell whether it is newer.
+        """Apply a configuration; return whether it is newer.
 
-        The operator's versions only rise, also where the store came back from
-        an older copy: the version that the copy holds is taken for old. The
-        same version at a later position is the one written again, and must be
-        told on to whoever began with the copy's.
+        The operator's versions only rise, even if the store is restored from
+        an older copy: the version in the copy is treated as old. The same
+        version at a later position was written again, and must be forwarded to
+        processes that started with the version in the copy.
 
-        :param also_dropped: addresses of routes that are gone by it, if they
-            were ever here: they may have come and gone in between.
+        :param also_dropped: addresses of routes that the configuration drops
+            if they exist here; they may have been added and dropped in
+            between.
         """
         if configuration.version < self.version:
             return False
@@ -108,7 +110,7 @@
             for address, revision in self._disabled.items()
             if revision > configuration.revision
         }
-        self._forget_dropped()
+        self._evict_dropped()
         self._routes = routes
         self._digest = digest(routes)
         self._configuration = configuration
@@ -120,7 +122,7 @@
             return True
         return configuration.revision > known.revision
 
-    def _forget_dropped(self) -> None:
+    def _evict_dropped(self) -> None:
         while len(self._dropped) > DROPPED_KEPT:
             oldest = next(iter(self._dropped))
             self._known_since = max(
@@ -128,10 +130,10 @@
             )
 
     def apply_change(self, change: records.ConfigurationChange) -> bool:
-        """Make a change; tell whether it led to a newer configuration.
+        """Apply a change; return whether it led to a newer configuration.
 
-        The caller has made sure that nothing is missing in between: callers
-        of a route that is there would be reset.
+        The caller must ensure that no change in between is missing: otherwise
+        callers of an existing route would be reset.
         """
         if self._configuration is None or change.version <= self.version:
             return False
@@ -165,8 +167,8 @@
     ) -> records.ConfigurationChange | None:
         """Return what has changed after a revision.
 
-        :returns: None if that was before the first configuration known here;
-            whoever is that far behind needs the whole of it.
+        :returns: None if the revision precedes the first configuration known
+            here; a process that lags that far needs the whole configuration.
         """
         newest = self._configuration
         if newest is None or revision < self._known_since:
--- a/packages/teaseldock/teaseldock/packets/synchronization.py
+++ b/packages/teaseldock/teaseldock/packets/synchronization.py
@@ -1,4 +1,4 @@
-"""Get changes from other processes, and give them on."""
+"""Exchange changes and alerts with other processes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     from teaseldock.packets import records
     from teaseldock.packets import reporting
 
-#: Bytes a second, and at once, for telling askers whom to ask instead. Beyond
-#: that they get no answer: 194 processes that ask one for the newest changes
-#: five times a second would use up with these answers what it may send, so
-#: that it never sent the changes themselves, to anybody, for eleven seconds.
+#: Bytes a second, and burst, for referrals to other processes. Requests beyond
+#: that get no answer. Without the limit, referrals for 194 processes that each
+#: ask one process for the newest changes five times a second used up its byte
+#: budget, and it sent no changes to any of them for eleven seconds.
 REFERRALS_BYTES_PER_S = 2000.0
 REFERRALS_BURST_BYTES = 2000.0
 #: Seconds until another process is asked for alerts: thirty round trips
-#: between data centres. They are one datagram.
+#: between data centres. Alerts fit into one datagram.
 ALERTS_AGAIN_S = 0.1
 
 Send = typing.Callable[[str, bytes, control_budget.Purpose], None]
@@ -35,7 +35,7 @@
 
 
 class Synchronizer:
-    """The changes that one process asks for and is asked for."""
+    """Requests changes and alerts from peers, and answers their requests."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         meters: reporting.Meters,
         randomness: random.Random,
     ) -> None:
-        """Start without a question.
+        """Create a synchronizer without open requests.
 
         :param send: sends a datagram to a process, for a purpose.
-        :param take: takes over changes, with the process that they are from.
-        :param take_alerts: the same for alerts.
+        :param take: applies changes that a process sent.
+        :param take_alerts: applies alerts that a process sent.
         """
         self._knowledge = known
         self._mesh = processes
@@ -66,7 +66,7 @@
         self._alerts_asked: collections.deque[str] = collections.deque(
             maxlen=pulling.SENDERS_KEPT
         )
-        # By host, from which alert on a process knows all.
+        # By host, the revision after which a process has all alerts.
         self._alerts_kept: dict[str, int] = {}
         self._meters = meters
         self._pulling = pulling.PullState(randomness)
@@ -76,7 +76,7 @@
         )
 
     def pull(self, now: float) -> None:
-        """Ask for what others know and this process lacks, if it is time."""
+        """Request changes that peers have and this process lacks, if due."""
         if not self._pulling.due(now):
             return
         own = self._knowledge.content_revision
@@ -94,9 +94,9 @@
             self._request_changes(source.host, 0, now)
 
     def pull_alerts(self, now: float, *, source: str | None = None) -> None:
-        """Ask for alerts that others know of, if it is time.
+        """Request alerts that peers have and this process lacks, if due.
 
-        :param source: a process that has just told that it knows more.
+        :param source: a process that has just reported newer alerts.
         """
         asked_at = self._alerts_asked_at
         if asked_at is not None and now - asked_at < ALERTS_AGAIN_S:
@@ -121,7 +121,7 @@
     def _with_all_missing_alerts(
         self, ahead: list[peers.Peer]
     ) -> list[peers.Peer]:
-        """Return processes that may know all alerts that are missing here."""
+        """Return the processes that may have all alerts missing here."""
         own = self._knowledge.alerts_upto
         return [
             peer
@@ -141,7 +141,8 @@
         if alerts is None:
             return
         if not alerts.complete:
-            # It stays behind, and asks others, and for all changes too.
+            # The receiver's alerts stay incomplete; it asks other processes,
+            # and also requests all changes.
             self._meters.counters['alerts_not_kept'] += 1
         self._meters.counters['alerts_sent'] += 1
         self._send(
@@ -149,7 +150,7 @@
         )
 
     def on_alerts(self, body: bytes, host: str, now: float) -> None:
-        """Take alerts that were asked for."""
+        """Apply alerts that were requested."""
         if host not in self._alerts_asked:
             self._meters.counters['dropped_alerts_of_stranger'] += 1
             return
@@ -158,7 +159,8 @@
         self._alerts_kept[host] = alerts.kept_since
         self._take_alerts(alerts, host, now)
         ahead = self._mesh.peers_with_newer_alerts(before, now)
-        # Each that has begun later than this process is asked but once.
+        # Each process whose log starts after the alerts known here is asked
+        # only once.
         another = not alerts.complete and self._with_all_missing_alerts(ahead)
         if another or self._knowledge.alerts_upto > before:
             self._alerts_asked_at = None
@@ -176,10 +178,10 @@
         )
 
     def on_changes_request(self, body: bytes, host: str, now: float) -> None:
-        """Send what a process lacks, unless too much was sent lately.
+        """Send the changes that a process lacks, within the byte budget.
 
-        It then asks somebody else, who has it by now: so a change of 8 KB
-        doesn't leave one process a hundred times over a slim link.
+        Beyond it, the process is referred to one that has them by now, so that
+        a change of 8 KB is not sent a hundred times over one slow link.
         """
         since = control.read_revision(body)
         if since >= self._knowledge.content_revision:
@@ -205,13 +207,13 @@
         self._send(asker, datagram, control_budget.Purpose.QUESTION)
 
     def on_referral(self, body: bytes, host: str, now: float) -> None:
-        """Ask another process, as one that was asked has advised."""
+        """Request changes from the process that an asked process refers to."""
         if self._pulling.expects(host) and not self._pulling.due(now):
             other = control.read_referral(body)
             self._request_changes(other, self._knowledge.wanted_since, now)
 
     def on_changes(self, body: bytes, host: str, now: float) -> None:
-        """Take a part of the changes that were asked for."""
+        """Add a part of requested changes; apply them when complete."""
         if not self._pulling.expects(host):
             self._meters.counters['dropped_changes_of_stranger'] += 1
             return
@@ -220,8 +222,8 @@
             return
         before = self._knowledge.content_revision
         self._take(changes, host, now)
-        # Asked again at once, an answer that taught nothing would come back
-        # as often as the way there and back takes: 300 times a second.
+        # If requested again at once, an answer without new changes would come
+        # back once per round trip: 300 times a second.
         if self._knowledge.content_revision > before:
             self._pulling.allow_next_request()
             self.pull(now)
