--- a/tests/packets/feeds.py
+++ b/tests/packets/feeds.py
@@ -1,4 +1,4 @@
-"""Open feeds in a world, and let them ask again; shared by several tests."""
+"""Open feeds in a simulated world and use them; shared by several tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def serve_feeds(
     world: packet_world.World, count: int
 ) -> list[packet_caller.Request]:
-    """Open feeds and let them have their first answer."""
+    """Open feeds and wait for their first answers."""
     feeds = []
     for _ in range(count):
         feeds.append(world.request(feed=True))
@@ -27,7 +27,7 @@
     feeds: list[packet_caller.Request],
     seconds: float,
 ) -> None:
-    """Let each feed ask once more."""
+    """Let each feed send another request."""
     for feed in feeds:
         feed.ask()
         world.run(0.01)
@@ -37,7 +37,7 @@
 def restart_balancers(
     world: packet_world.World, *, pause_s: float = 0.0
 ) -> None:
-    """Start all balancers anew, without memory of any flow."""
+    """Restart all balancers, without their state of flows."""
     for process in world.balancers():
         world.start(process.host)
         world.run(pause_s)
--- a/tests/packets/test_alerts.py
+++ b/tests/packets/test_alerts.py
@@ -1,4 +1,4 @@
-"""Test that what a promise hangs on is known before all else."""
+"""Test that urgent changes are known before all others."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from teaseldock.packets import knowledge
 from teaseldock.packets import records
 
-#: Seconds within which alerts, and all else, must be known everywhere.
+#: Seconds within which alerts, and all other changes, must be known
+#: everywhere.
 ALERTS_S = 2.0
 BULK_S = 5.0
-#: The same where the store turns processes away, and those that read it die.
+#: The same while the store rejects processes and its readers die.
 IN_FORCE_S = 4.0
-#: Greatest age of what a process can prove to know when it begins to read the
-#: store: it leaves 2.5 s of the 6 s in which a server that left gets no more.
+#: Greatest age of the proof of a process that starts to read the store: it
+#: leaves 2.5 s of the 6 s after which a server that left gets no more flows.
 PROOF_S = 3.5
 LEAVES = records.AlertKind.LEAVES
 GONE = records.AlertKind.GONE
@@ -43,7 +44,7 @@
 
 
 def known_at(revision: int, *targets: records.Target) -> knowledge.Knowledge:
-    """Return what a process knows that has read everything."""
+    """Return the state of a process that has read everything."""
     known = knowledge.Knowledge()
     first = config(1, 443, 444)
     known.apply(records.Changes(0, revision, list(targets), [], first), 0.0)
@@ -56,7 +57,7 @@
 
 
 def test_a_server_that_leaves_gets_no_flows_before_all_is_known() -> None:
-    """The alert counts though a thousand routes before it are missing."""
+    """An alert applies although a thousand routes before it are missing."""
     known = known_at(5, target('a', 3), target('b', 4))
     assert known.apply_alerts(alerts_of(5, 90, (LEAVES, 'a', 90)), 1.0)
     assert [t.identifier for t in known.placeable('dispatch')] == ['b']
@@ -64,12 +65,12 @@
 
 
 def test_a_server_that_is_gone_does_not_come_back_with_older_changes() -> None:
-    """Changes from before the alert bring a removed server back.
+    """Changes from before an alert don't restore a removed server.
 
-    Symptom: new flows at an address that was given to another service.
-    Events: the alert of a removal (90) arrives; then changes up to 50, in
-    which the server has just registered.
-    Cause: only entries that are known remember their revision.
+    The alert of a removal (90) arrives, then changes up to 50, in which the
+    server has just registered. If only stored entries have a revision to
+    compare with, the server returns, and new flows reach an address that was
+    given to another service.
     """
     known = known_at(5)
     known.apply_alerts(alerts_of(5, 90, (GONE, 'a', 90)), 1.0)
@@ -79,7 +80,7 @@
 
 
 def test_an_entry_from_before_the_alert_is_leaving() -> None:
-    """An entry that comes after its alert, but is older, is marked."""
+    """An older entry that arrives after its alert is marked as leaving."""
     known = known_at(5)
     known.apply_alerts(alerts_of(5, 90, (LEAVES, 'a', 90)), 1.0)
     known.apply(records.Changes(5, 50, [target('a', 40)], [], None), 2.0)
@@ -87,14 +88,12 @@
 
 
 def test_a_process_that_was_alerted_passes_the_entry_on() -> None:
-    """Who heard by an alert that a server leaves never tells others.
-
-    Symptom: a process that lags goes on bringing flows to a server that
-    leaves, though it was sent all changes.
-    Events: b hears by an alert that a server leaves, then gets the entry,
-    which says so too, and that the warm-up goes on; c asks b for changes.
-    Cause: b took the entry for one that says only the latter, and kept the
-    revision from before.
+    """A process that received an alert forwards the entry, too.
+
+    b receives an alert that a server leaves, then the entry, which reports
+    that and progress of the warm-up; c requests changes from b. If b takes the
+    entry for warm-up progress only, it keeps the former revision, and c, sent
+    all changes, goes on sending flows to the server.
     """
     known = known_at(5, target('a', 3, warmup_ms=2000))
     known.apply_alerts(alerts_of(5, 90, (LEAVES, 'a', 90)), 1.0)
@@ -104,19 +103,17 @@
 
 
 def test_what_an_alert_said_is_not_passed_on_as_an_old_entry() -> None:
-    """A process that was told everything never hears that a server leaves.
-
-    Symptom: balancers and agents that have proof of all alerts bring flows to
-    a server that leaves, until its entry is gone; two that lag so meet, and an
-    opening reaches it.
-    Events: b hears by an alert that a server leaves; c starts, and b tells it
-    all; c gets the server's own entry, whose warm-up goes on; d asks c for
-    changes.
-    Cause: b passed the entry on as it was before, but marked as leaving, so
-    that c took the later one for one that only says that it is warmer. d, to
-    which c sent nothing of it, counted as knowing all. Evidence: in virtual
-    time, servers replaced beside restarts, six of 26 processes lacked alerts
-    that were older than their proof; one was known 3.7 s late.
+    """A process does not forward an old entry modified by an alert.
+
+    b receives an alert that a server leaves; c starts and gets everything from
+    b, then the server's own entry, whose warm-up progressed; d requests
+    changes from c. If b forwards the older entry marked as leaving, c takes
+    the later one for warm-up progress only and sends d nothing of it, and d
+    counts as complete. Such balancers and agents have proof of all alerts, but
+    send flows to the server until its entry is removed; an opening reaches it
+    if both lag. In a simulation of servers replaced during restarts, six of 26
+    processes lacked alerts that were older than their proof; one was known 3.7
+    s late.
     """
     cold = target('a', 3, warmup_ms=2000)
     b, d = known_at(5, cold), known_at(5, cold)
@@ -132,10 +129,11 @@
 
 
 def test_a_server_that_an_alert_said_leaves_has_not_expired() -> None:
-    """Its entry vanishes before the one that says so has come.
+    """A server that leaves according to an alert doesn't count as expired.
 
-    An entry that vanished without a word stays usable for two seconds; a
-    server that leaves must not.
+    Its entry is removed before the one that reports the departure arrives. An
+    entry that disappears without a departure stays usable for two seconds;
+    that of a server that leaves must not.
     """
     known = known_at(5, target('a', 3))
     known.apply_alerts(alerts_of(5, 90, (LEAVES, 'a', 90)), 1.0)
@@ -144,9 +142,9 @@
 
 
 def test_a_dropped_route_is_not_used_until_the_configuration_comes() -> None:
-    """The route of an alert is closed, and open again if a later one has it.
+    """An alert disables a route until a later configuration has it again.
 
-    The configuration that drops it comes later, and one that has it again.
+    The configuration that drops the route arrives after the alert.
     """
     known = known_at(5)
     address = packet_world.route('dispatch', port=444).address
@@ -160,14 +158,14 @@
 
 
 def test_alerts_with_a_gap_are_left_for_later() -> None:
-    """Alerts whose predecessors are missing don't count as complete."""
+    """Alerts are not applied while earlier ones are missing."""
     known = known_at(5, target('a', 3))
     assert not known.apply_alerts(alerts_of(7, 9, (LEAVES, 'a', 9)), 1.0)
     assert known.alerts_upto == 5
 
 
 def test_an_answer_holds_a_datagram_of_alerts() -> None:
-    """Many alerts come in several answers, oldest first, none left out."""
+    """Many alerts arrive in several answers, oldest first, none left out."""
     log = alerts.AlertLog()
     log.start_at(0)
     for revision in range(1, 61):
@@ -182,7 +180,7 @@
 
 
 def test_who_lags_beyond_what_is_kept_needs_all() -> None:
-    """The log forgets the oldest, and says so."""
+    """A log that has evicted alerts marks its answer as incomplete."""
     log = alerts.AlertLog()
     log.start_at(0)
     for revision in range(1, alerts.ALERTS_KEPT + 11):
@@ -194,7 +192,7 @@
 
 
 def test_alerts_that_cannot_be_read_are_refused() -> None:
-    """An address that is none ends at the decoder."""
+    """The decoder rejects an alert whose subject is not an address."""
     bad = records.Alert(records.AlertKind.ROUTE_DROPPED, 'no address', 4)
     packed = control.pack_alerts(records.Alerts(1, 4, [bad]))
     with pytest.raises(exceptions.MessageError):
@@ -202,11 +200,11 @@
 
 
 def test_alerts_of_strangers_are_not_taken() -> None:
-    """Alerts that nobody asked for change nothing, and are counted.
+    """Alerts that were not requested are dropped and counted.
 
-    Symptom: no server gets new flows, since a confused process told everybody
-    that all of them leave.
-    Cause: alerts were taken from any process while a question waited.
+    If alerts were accepted from any process while a request is open, a faulty
+    process that reports departures of all servers would keep all of them from
+    getting new flows.
     """
     world = packet_world.small_world()
     process = world.balancers()[0]
@@ -299,7 +297,7 @@
 
 
 def test_who_jumped_over_a_version_gives_no_proof_of_what_it_dropped() -> None:
-    """Guards against a dropped route that is used with proof of all alerts."""
+    """Guards against a dropped route in use with proof of all alerts."""
     jumped, behind = known_at(5), known_at(5)
     behind.apply(records.Changes(5, 9, [], [], config(8, 443, 444, 445)), 1.0)
     jumped.apply(records.Changes(0, 20, [], [], config(15, 443, 444)), 2.0)
@@ -313,7 +311,7 @@
 
 
 def test_who_is_told_of_a_route_that_came_and_went_tells_it_on() -> None:
-    """Guards against a route that stays at whoever saw it come."""
+    """Guards against a dropped route that stays at processes that had it."""
     knows_all, jumped, behind = known_at(5), known_at(5), known_at(5)
     for known in (knows_all, behind):
         came = config(8, 443, 444, 445)
@@ -333,16 +331,16 @@
 def test_alerts_do_not_wait_for_a_thousand_routes(
     balancers: int, servers: int, link_mbps: float
 ) -> None:
-    """Flows reach servers that left, at processes that are well.
-
-    Symptom: a process in touch brings flows to servers that said 4.3 s (73
-    processes) to 6.9 s (195) before that they leave.
-    Events: 64 servers are replaced while 1,600 routes come, a third of the
-    processes freezes, the store turns another third away, those that read it
-    are killed three times, and half of the processes restart.
-    Cause: what matters was told in one stream with all else. Whoever is not
-    told all the same reads the store in time: what a process in touch can
-    prove to know is never older than that.
+    """Healthy processes don't send flows to servers that left.
+
+    64 servers are replaced while 1,600 routes are added, a third of the
+    processes freezes, the store rejects another third, its readers are killed
+    three times, and half of the processes restart. When alerts were sent in
+    one stream with all other changes, processes in contact with others sent
+    flows to servers 4.3 s (73 processes) to 6.9 s (195) after they had
+    announced their departure. A process that still receives no alerts reads
+    the store in time: the proof of a process in contact is never older than
+    that.
     """
     ages = packet_news.play(balancers, servers, link_mbps)
     assert ages.urgent_s <= ALERTS_S
@@ -352,7 +350,7 @@
     assert not ages.unproven
 
 
-#: Seconds between two troubles that are drawn: some overlap.
+#: Seconds between two drawn faults: some overlap.
 GAPS_S = strategies.floats(0.1, 1.8)
 TROUBLES = strategies.lists(
     strategies.tuples(
--- a/tests/packets/test_any_order.py
+++ b/tests/packets/test_any_order.py
@@ -1,4 +1,4 @@
-"""Test that no order of messages makes processes know different things."""
+"""Test that any order of messages leads all processes to the same state."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from teaseldock.packets import knowledge
 from teaseldock.packets import records
 
-#: Milliseconds of warm-up that a server has left at first; each entry says
-#: less, so that one in a row with another may count as no news.
+#: Milliseconds of warm-up that a server has left at first; each entry has
+#: less, so that one that follows another may count as redundant.
 WARMUP_MS = 10_000
 READERS = 2
 PROCESSES = 4
@@ -21,10 +21,10 @@
 
 
 class _History:
-    """What the store held at each revision."""
+    """The store's content at each revision."""
 
     def __init__(self) -> None:
-        """Start with a configuration alone."""
+        """Create a history that holds only a configuration."""
         self.events: list[records.Target | records.Removal] = []
         self.held: list[dict[str, records.Target]] = [{}, {}]
 
@@ -35,7 +35,7 @@
 
     @property
     def newest(self) -> dict[str, records.Target]:
-        """Return the entries there are now."""
+        """Return the current entries."""
         return self.held[-1]
 
     def write(self, name: str, *, leaving: bool) -> None:
@@ -62,7 +62,7 @@
         self.held.append(left)
 
     def since(self, revision: int) -> records.Changes:
-        """Return what a watch tells."""
+        """Return the answer to a watch."""
         news = [item for item in self.events if item.revision > revision]
         return records.Changes(
             revision,
@@ -76,7 +76,7 @@
     def whole(
         self, entries: dict[str, records.Target], upto: int
     ) -> records.Changes:
-        """Return what a read of all tells."""
+        """Return the answer to a full read."""
         return records.Changes(
             0, upto, list(entries.values()), [], _configuration()
         )
@@ -231,7 +231,7 @@
 
 
 def test_who_missed_that_a_server_was_ready_tells_that_it_left_again() -> None:
-    """Guards against flows to a server that leaves, with proof of all."""
+    """Guards against flows to a leaving server, with proof of all alerts."""
     fleet = Fleet()
     _left_twice(fleet, by_alerts=False)
     fleet.proof_is_true()
@@ -239,7 +239,7 @@
 
 
 def test_alerts_tell_that_a_server_left_again() -> None:
-    """Guards against alerts that count as complete without the second."""
+    """Guards against complete alerts without the second departure."""
     fleet = Fleet()
     _left_twice(fleet, by_alerts=True)
     fleet.proof_is_true()
@@ -247,7 +247,7 @@
 
 
 def test_who_missed_that_a_server_left_tells_that_it_is_ready() -> None:
-    """Guards against a server that serves and gets no flows ever again."""
+    """Guards against a server that serves and never gets flows again."""
     fleet = Fleet()
     fleet.write('a', False)
     fleet.watch(0, True)
@@ -264,7 +264,7 @@
 
 
 def test_an_entry_written_again_during_a_read_replaces_the_former() -> None:
-    """Guards against use of an entry that is gone by what the read covers."""
+    """Guards against use of an entry that the read shows to be gone."""
     fleet = Fleet()
     fleet.write('b', False)
     fleet.watch(0, True)
@@ -277,7 +277,7 @@
 
 
 def test_a_server_that_left_and_went_in_one_answer_has_not_lapsed() -> None:
-    """Guards against flows to a server that left while the store was away."""
+    """Guards against flows to a server that left during a store outage."""
     fleet = Fleet()
     fleet.write('a', False)
     fleet.watch(0, True)
--- a/tests/packets/test_evacuation.py
+++ b/tests/packets/test_evacuation.py
@@ -11,7 +11,7 @@
 from teaseldock.packets import knowledge
 from teaseldock.packets import records
 
-#: Seconds in which a request must be in force everywhere when nothing fails.
+#: Seconds within which a request must be in force everywhere if nothing fails.
 IN_FORCE_S = 1.0
 NORTH = ['10.0.1.1', '10.0.1.2', '10.0.1.3']
 EAST = ['10.0.2.1', '10.0.2.2', '10.0.2.3']
@@ -20,7 +20,7 @@
 
 
 def three_centres(**options: object) -> packet_world.World:
-    """Return a fleet in three data centres that has just got ready."""
+    """Return a world with three data centres that has just started."""
     world = packet_world.World(**options)
     world.store.configure(1, [packet_world.route('dispatch')])
     for name, hosts in CENTRES.items():
@@ -49,7 +49,7 @@
 def opened_at(
     world: packet_world.World, centre: str, since: float
 ) -> list[tuple[float, bytes]]:
-    """Return the openings that targets of a data centre took."""
+    """Return the openings that targets of a data centre accepted."""
     return [
         taken
         for host in CENTRES[centre]
@@ -59,12 +59,11 @@
 
 
 def test_an_evacuated_data_centre_gets_no_new_flows() -> None:
-    """New flows reach targets that the operator wants left alone.
+    """New flows don't reach targets in an evacuated data centre.
 
-    Symptom: 1,846 openings a day reach targets of a data centre later than
-    five seconds after the operator evacuated it.
-    Events: the operator's request is published; callers go on.
-    Cause: nobody read the request.
+    The operator's request is published while callers go on. If no process
+    reads the request, 1,846 openings a day reach such targets later than five
+    seconds after it.
     """
     world = three_centres()
     world.store.evacuate('east')
@@ -80,7 +79,7 @@
 
 
 def test_a_data_centre_that_is_taken_back_gets_flows_again() -> None:
-    """The end of the request reaches everybody, too."""
+    """The withdrawal of a request reaches all processes, too."""
     world = three_centres()
     world.store.evacuate('east')
     world.run(IN_FORCE_S)
@@ -92,7 +91,7 @@
 
 
 def test_open_flows_stay_where_they_are() -> None:
-    """Feeds at an evacuated target go on there."""
+    """Feeds at targets of an evacuated data centre stay there."""
     world = three_centres()
     feeds = [world.request(feed=True) for _ in range(30)]
     world.run(1.0)
@@ -115,7 +114,7 @@
 
 
 def test_all_evacuated_is_refused_at_once() -> None:
-    """A caller learns at once that no target may take its flow."""
+    """A caller is refused at once if no target may take its flow."""
     world = three_centres()
     for name in CENTRES:
         world.store.evacuate(name)
@@ -130,12 +129,11 @@
 
 
 def test_the_agent_is_the_last_to_say_no() -> None:
-    """A balancer that hears nothing still brings flows to a data centre.
+    """Agents refuse new flows from a balancer that lacks an evacuation.
 
-    Symptom: new flows at an evacuated target, all through one balancer.
-    Events: a balancer is cut off from the store and from all balancers; the
-    agents that it brings flows to hear of the evacuation.
-    Cause: only balancers minded the request.
+    A balancer is cut off from the store and from all balancers; the agents
+    that it sends flows to have the evacuation. If only balancers applied it,
+    new flows would reach evacuated targets through this balancer.
     """
     world = three_centres(balancers=3)
     lagging = world.seeds[0]
@@ -143,7 +141,7 @@
     world.store.refused.add(lagging)
     world.cut.update(frozenset((lagging, host)) for host in others)
     process = world.processes[lagging]
-    # Its agents know more, but it may not ask them.
+    # The agents have newer changes, but the balancer must not request them.
     process.node._exchange.pull = lambda now: None
     process.node._exchange.pull_alerts = lambda now, source=None: None
     world.store.evacuate('east')
@@ -157,12 +155,12 @@
 
 
 def test_a_copy_of_an_accepted_opening_is_not_refused() -> None:
-    """A flow is reset by a balancer at the moment when it opens.
+    """A retransmission of an accepted opening is not refused.
 
-    Symptom: FLOW: a caller gets a reset that its target did not send.
-    Events: a target accepts an opening; its answer is late; all data centres
-    are evacuated; the caller's copy comes, and there is no target for it.
-    Cause: the copy was refused, though the earlier one had been taken.
+    A target accepts an opening, and its answer is late; all data centres are
+    evacuated; the caller's retransmission arrives, and no target is available
+    for it. If it is refused, the caller gets a reset that its target did not
+    send.
     """
     world = three_centres()
     order = world.request(tries=1)
@@ -182,13 +180,13 @@
 
 @pytest.mark.parametrize('how', ['young', 'history', 'outage', 'unread'])
 def test_the_request_reaches_who_was_not_there(how: str) -> None:
-    """A process that missed the request, or its end, brings flows there.
+    """A process that missed a request or its withdrawal gets it later.
 
-    Events: a process starts after the request (young); the store forgets its
-    history between request and end (history); the request is written while
-    the store is away from all (outage); it is taken back while nobody reads
-    (unread).
-    Cause: requests came by watches only.
+    A process starts after the request (young); the store drops its history
+    between request and withdrawal (history); the request is written while the
+    store is unreachable (outage); it is withdrawn while no process reads
+    (unread). If requests arrived by watches only, the process would send flows
+    there.
     """
     world = three_centres()
     if how == 'outage':
@@ -224,18 +222,16 @@
 
 
 def evacuation(revision: int, *, active: bool) -> records.Evacuation:
-    """Return a request, or its end."""
+    """Return a request, or its withdrawal."""
     return records.Evacuation('east', revision, active)
 
 
 def test_an_old_request_does_not_come_back() -> None:
-    """A message that overtook its successor brings a request back.
+    """A late message does not restore a withdrawn request.
 
-    Symptom: a data centre that is in use again gets no flows at some
-    balancers.
-    Events: request (4) and end (6) are known; a peer's message from before
-    the end arrives.
-    Cause: the end left nothing behind that the message could be compared to.
+    Request (4) and withdrawal (6) are known; a peer's message from before the
+    withdrawal arrives. If the withdrawal is not stored for comparison, a data
+    centre that is in use again gets no flows at some balancers.
     """
     known = knowledge.Knowledge()
     request = evacuation(4, active=True)
@@ -251,7 +247,7 @@
 
 
 def test_a_name_without_targets_harms_nobody() -> None:
-    """The operator names a data centre that no target is in."""
+    """An evacuation of a data centre without targets has no effect."""
     world = three_centres()
     world.store.evacuate('nowhere')
     world.run(IN_FORCE_S)
--- a/tests/packets/test_freshness.py
+++ b/tests/packets/test_freshness.py
@@ -1,4 +1,4 @@
-"""Test that a process knows how old its knowledge of alerts may be."""
+"""Test the bound on the age of alerts that a process may lack."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from teaseldock.packets import control
 from teaseldock.packets import freshness
 
-#: Age that is usual: a watch of 1.5 s, and on the way two rounds between
+#: Usual age, seconds: a watch of 1.5 s, and for its answer two rounds between
 #: balancers and one to agents.
 USUAL_S = 1.5 + 2 * 0.4 + 0.6
 
 
 def heartbeat(alerted: int, age_ms: int) -> control.Heartbeat:
-    """Return a word of another process."""
+    """Return a heartbeat of another process."""
     first = control.Heartbeat(True, 1, False, 9, 0, False, None, b'')
     return first._replace(alerted=alerted, alerts_age_ms=age_ms)
 
 
 def test_who_lacks_an_alert_takes_no_proof_from_who_knows_it() -> None:
-    """An age counts only where all alerts of its teller are known."""
+    """An age counts only if all alerts of its sender are known here."""
     fresh = freshness.Freshness(100.0)
     fresh.merge_claim(8, 0, 110.0, known=7)
     assert fresh.age_s(110.0) == 10.0
@@ -27,13 +27,13 @@
 
 
 def test_who_catches_up_has_the_proof_that_it_was_told_before() -> None:
-    """A process that has just been told takes itself for one that lags.
+    """A process that catches up adopts the proof that it received before.
 
-    Symptom: hundreds of calls at one moment when the store comes back.
-    Events: a process hears that another knows all alerts, one of which it
-    lacks, and gets that one some milliseconds later.
-    Cause: proof was taken from heartbeats only, the next of which comes 0.4 to
-    0.8 s later. Evidence: 183 of 195 processes read the store in that time.
+    A process receives the report that another has all alerts, one of which it
+    lacks, and gets that one some milliseconds later. If it takes proof from
+    heartbeats only, the next of which arrives 0.4 to 0.8 s later, it looks
+    stale until then: when the store returned, 183 of 195 processes read it in
+    that time.
     """
     fresh = freshness.Freshness(100.0)
     fresh.merge_claim(8, 200, 110.0, known=7)
@@ -47,7 +47,7 @@
 
 
 def test_the_proofs_kept_are_bounded() -> None:
-    """Of many alerts that are missing, the newest are kept."""
+    """Of claims for many missing alerts, the newest are kept."""
     fresh = freshness.Freshness(100.0)
     for alerted in range(8, 8 + 2 * freshness.CLAIMS_KEPT):
         fresh.merge_claim(alerted, 0, 110.0, known=7)
@@ -58,10 +58,10 @@
 
 
 def test_who_is_notified_of_a_change_has_proof_with_it() -> None:
-    """A reader tells of a change before it counts its own answer.
+    """A process that is notified of a change also gets the proof for it.
 
-    Symptom and cause as above: those that were notified at once had the
-    change, but the proof from before it.
+    If a reader notifies others before it records its own answer, they have the
+    change but the proof from before it, and read the store as above.
     """
     world = packet_world.small_world(balancers=6, servers=12)
     world.store.up = False
@@ -78,12 +78,11 @@
 
 
 def test_a_whole_read_proves_nothing_later_than_its_beginning() -> None:
-    """A read of many pages is older than its last page.
+    """Proof from a full read dates from the start of the read.
 
-    Symptom: a process counts alerts as known that came while it read, on a
-    link where the whole takes more than a second.
-    Cause: the proof was dated at the end; what is known is what the first page
-    covers.
+    A read of many pages covers what its first page does. If its proof dated
+    from the end, a process would count alerts as known that were published
+    during the read, which takes more than a second on some links.
     """
     world = packet_world.small_world(balancers=2, servers=2)
     world.store.delay_s = 0.5
@@ -96,7 +95,7 @@
 
 
 def test_an_age_never_gets_younger_on_its_way() -> None:
-    """Two processes that only hear each other get older together."""
+    """Two processes that only receive each other's ages get older together."""
     one, two = freshness.Freshness(100.0), freshness.Freshness(100.0)
     one.record_answer(100.0)
     for step in range(1, 60):
@@ -108,7 +107,7 @@
 
 
 def test_ages_stay_small_when_nothing_happens() -> None:
-    """Every process among 40 has proof that is younger than a watch."""
+    """Without changes, proof of each of 40 processes stays recent."""
     world = packet_world.small_world(balancers=12, servers=28, link_mbps=20.0)
     for _ in range(60):
         world.run(0.1)
@@ -118,14 +117,12 @@
 
 
 def test_who_hears_others_but_gets_nothing_reads_the_store() -> None:
-    """A process that can't catch up waits for others for good.
-
-    Symptom: new flows at a server that left long ago, through one balancer
-    that hears the others all the time.
-    Events: everything that is sent to a balancer arrives, but for alerts and
-    changes; a server says that it leaves.
-    Cause: what others told of the store's last answer was taken for proof of
-    what is known here, so that this balancer never read the store itself.
+    """A process that receives heartbeats but no changes reads the store.
+
+    A balancer receives everything but alerts and changes; a server announces
+    its departure. If the last answer of the store that others report counts as
+    proof of its own state, the balancer never reads the store, and sends new
+    flows to a server that left long ago.
     """
     world = packet_world.small_world(balancers=6, servers=6)
     process = next(
@@ -144,10 +141,10 @@
 
 
 def test_who_cannot_catch_up_at_all_says_so() -> None:
-    """A process that can't be told and can't read writes a line, and one more.
+    """A process that can neither catch up nor read logs that, and its end.
 
-    Events: a balancer hears others, but gets no changes and is turned away by
-    the store; after six seconds all of that ends.
+    A balancer receives heartbeats but no changes, and the store rejects its
+    calls; after six seconds both end.
     """
     world = packet_world.small_world(balancers=6, servers=6)
     process = world.balancers()[0]
@@ -170,13 +167,12 @@
 
 
 def test_words_that_waited_during_a_pause_prove_nothing_new() -> None:
-    """A process that wakes up dates what it reads then as if just sent.
+    """Heartbeats that queued during a pause give no proof of a later time.
 
-    Symptom: proof that is younger than an alert which the process lacks, in
-    the first half second after it stood still.
-    Events: a balancer freezes; others tell it that they know all; a server
-    says that it leaves; the balancer wakes and reads what waited.
-    Cause: the age that a word tells counts from when it is read.
+    A balancer freezes; others report that they have all alerts; a server
+    announces its departure; the balancer resumes and reads the queue. If the
+    reported age counts from the time of reading, the proof is newer than an
+    alert that the process lacks, in the first half second after the pause.
     """
     world = packet_world.small_world(balancers=6, servers=6)
     process = world.balancers()[-1]
@@ -194,14 +190,12 @@
 
 
 def test_who_has_read_all_proves_nothing_of_what_is_gone() -> None:
-    """A process that has just started tells others that they know all.
-
-    Symptom: proof that is younger than a removal which the process lacks, if
-    those that read the store have all restarted.
-    Events: a server's entry is removed; a balancer starts, reads the whole
-    store, in which nothing tells of that, and says that it knows all alerts,
-    the newest of them an older one.
-    Cause: who knows that one takes over the proof.
+    """A full read gives other processes no proof of earlier removals.
+
+    A server's entry is removed; a balancer starts, reads the whole store,
+    which doesn't show that, and reports that it has all alerts, the newest of
+    them an older one. A process that has that one adopts the proof. If all
+    readers have restarted, its proof is newer than a removal that it lacks.
     """
     world = packet_world.small_world(balancers=4, servers=6)
     lagging = world.balancers()[-1].node
--- a/tests/packets/test_knowledge.py
+++ b/tests/packets/test_knowledge.py
@@ -1,4 +1,4 @@
-"""Test how knowledge of the store spreads and never goes back."""
+"""Test how the state of the store spreads and never goes back."""
 
 from __future__ import annotations
 
@@ -26,11 +26,10 @@
 
 
 def test_an_old_entry_does_not_come_back() -> None:
-    """A drained target gets new flows again.
+    """An old entry from a lagging peer does not undo a drain.
 
-    Symptom: new flows at a target that has said that it leaves.
-    Events: the drain is known; then changes from a peer that lags arrive.
-    Cause: entries were taken over without comparing their revisions.
+    If entries are applied without a comparison of their revisions, a target
+    that announced its departure gets new flows again.
     """
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [target('a', 5)], [], None), 0.0)
@@ -41,7 +40,7 @@
 
 
 def test_a_removed_entry_does_not_come_back() -> None:
-    """A removal that is known outlasts a late message with the entry."""
+    """A known removal outlasts a late message with the entry."""
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [target('a', 5)], [], None), 0.0)
     gone = records.Removal('a', 7)
@@ -54,11 +53,11 @@
 
 
 def test_a_version_does_not_go_back() -> None:
-    """Routes that were dropped work again.
+    """A late message with an older version does not restore dropped routes.
 
-    Symptom: a request is run by a route that is gone.
-    Events: version 9 is in force; a stale read or a peer brings version 7.
-    Cause: the later message won, not the later version.
+    Version 9 is in force; a stale read or a peer brings version 7. If the
+    later message wins, not the higher version, requests use a route that is
+    gone.
     """
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [], [], config(9, 5)), 0.0)
@@ -67,7 +66,7 @@
 
 
 def test_a_gap_is_not_jumped() -> None:
-    """Changes whose predecessors are missing are left for later."""
+    """Changes are not applied while earlier ones are missing."""
     known = knowledge.Knowledge()
     known.apply(records.Changes(0, 5, [target('a', 5)], [], None), 0.0)
     gap = records.Changes(8, 9, [target('b', 9)], [], None)
@@ -76,15 +75,12 @@
 
 
 def test_what_a_read_in_pages_missed_reaches_peers() -> None:
-    """A target that registered during a read stays unknown to peers.
-
-    Symptom: a balancer that has restarted resets open flows of a target that
-    lives; only the process that read the store knows that target.
-    Events: the first page is read at revision 5; target a registers at 6, b
-    at 7; the second page shows b. The reader sends both pages on, then its
-    watch brings a.
-    Cause: the pages were passed on as complete up to 7, so that the peer,
-    which claimed to know all up to there, was never sent a.
+    """A target that registers during a paged read becomes known to peers.
+
+    The first page is read at revision 5; target a registers at 6, b at 7; the
+    second page shows b. The reader forwards both pages, then its watch brings
+    a. If the pages were forwarded as complete up to 7, the peer would never be
+    sent a, and a restarted balancer would reset open flows of a live target.
     """
     reader, peer = knowledge.Knowledge(), knowledge.Knowledge()
     reader.apply(records.Changes(0, 5, [target('b', 7)], [], None), 0.0)
@@ -98,12 +94,11 @@
 
 
 def test_a_peer_without_history_gets_everything() -> None:
-    """A peer from before our first read learns of removals.
+    """A peer with an older state learns of removals from a younger process.
 
-    Symptom: a target that is gone stays in one process's table.
-    Events: a process starts after a removal, so it never saw it, and sends
-    changes to a peer that still has the entry.
-    Cause: the changes held no removal, and did not say that they were all.
+    A process starts after a removal and sends its changes to a peer that still
+    has the entry. The changes hold no removal; unless they are marked as the
+    full state, the removed target stays at the peer.
     """
     young = knowledge.Knowledge()
     young.apply(records.Changes(0, 9, [target('b', 8)], [], None), 0.0)
@@ -114,13 +109,12 @@
 
 
 def test_a_newcomer_lacks_nothing_after_one_answer() -> None:
-    """Processes ask for the same changes five times a second, for ever.
+    """A started process does not request the same changes repeatedly.
 
-    Symptom: control traffic of 1 KB/s a process when nothing happens, after
-    some processes have started again.
-    Events: a target goes at revision 20; a process starts, and reads the store
-    at revision 25, where that target is not. Its newest entry is of 18.
-    Cause: it took itself to lack the removal, which taught it nothing.
+    A target is removed at revision 20; a process starts, and reads the store
+    at revision 25, without that target. Its newest entry is of 18. If it
+    counts the removal as missing, which changes nothing for it, it repeats the
+    request five times a second: 1 KB/s for each process when nothing happens.
     """
     old, young = knowledge.Knowledge(), knowledge.Knowledge()
     first = [target('a', 5), target('b', 18)]
@@ -134,13 +128,12 @@
 
 
 def test_a_warm_up_is_told_once() -> None:
-    """Processes hear too late that a server leaves, while others warm up.
+    """Entries that only report warm-up progress are not forwarded.
 
-    Symptom: new flows at servers that said 6.1 s before that they leave; both
-    the balancer and the agent had not heard of it.
-    Events: a release replaces 64 servers; each new one writes again and again
-    how much of its warm-up is left, and every process asked for all of that.
-    Cause: each such entry counted as news.
+    A release replaces 64 servers; each new one repeatedly writes how much of
+    its warm-up is left. When every process requested all of these entries,
+    departures arrived late: servers got new flows 6.1 s after they had
+    announced theirs, which neither the balancer nor the agent had received.
     """
     known = knowledge.Knowledge()
     cold = target('a', 5, warmup_ms=4000)
@@ -278,13 +271,12 @@
 
 
 def test_a_removal_is_passed_on_by_who_never_knew_the_entry() -> None:
-    """A server that is gone stays in one process's table for good.
+    """A process that never had an entry forwards its removal.
 
-    Symptom: new flows at an address whose server is gone, through a balancer
-    that claims to know everything.
-    Events: a registers at 6 and is gone at 8. One process hears of 6, another
-    goes from 5 to 8 at once; the first asks the second for what it lacks.
-    Cause: the second never knew a, and so kept nothing of its removal.
+    a registers at 6 and is removed at 8. One process receives 6, another goes
+    from 5 to 8 at once; the first requests what it lacks from the second. If
+    the second stores nothing of the removal, a balancer whose state is
+    complete sends new flows to an address whose server is gone.
     """
     lagging, jumped = knowledge.Knowledge(), knowledge.Knowledge()
     for known in (lagging, jumped):
@@ -299,7 +291,7 @@
 
 
 def test_an_entry_removed_and_written_again_in_one_answer_stays() -> None:
-    """Guards against a server that serves and gets no flows ever again."""
+    """Guards against a server that serves and never gets flows again."""
     known = knowledge.Knowledge()
     first = target('a', 5, warmup_ms=2000)
     known.apply(records.Changes(0, 5, [first], [], config(1, 1)), 0.0)
--- a/tests/packets/test_moved_routes.py
+++ b/tests/packets/test_moved_routes.py
@@ -1,4 +1,4 @@
-"""Test that open flows stay when the operator moves their route elsewhere."""
+"""Test that open flows stay when the operator moves their route."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Return a world with two services of four servers each, and others.
 
     :param choices: services and weights of the one busy route.
-    :param others: servers of a third service, which no request asks for.
+    :param others: servers of a third service, which gets no requests.
     """
     world = packet_world.World()
     world.store.configure(1, routes(*choices))
@@ -35,13 +35,13 @@
         world.add_server(
             f'10.0.9.{number}', service='idle', slots=1, service_s=0.03
         )
-    # From then on the agents have seen every flow of their servers.
+    # After this time the agents have seen every flow of their servers.
     world.run(17.0)
     return world
 
 
 def routes(*choices: tuple[str, int]) -> list[records.Route]:
-    """Return the busy route, and one to each service."""
+    """Return the busy route, and one for each service."""
     return [
         packet_world.route(*choices),
         packet_world.route('board', port=1),
@@ -62,12 +62,12 @@
 def test_flows_outlive_moved_weights(
     after: tuple[tuple[str, int], ...], agents_restart: bool
 ) -> None:
-    """A feed is reset though its server lives and holds it.
+    """A feed is not reset when its route's weights or service change.
 
-    Symptom: ``flow lost`` at a balancer, a reset that the server didn't send.
-    Events: the operator moves a route's weight, or the route itself, to
-    another service; balancers that start later get packets of older flows.
-    Cause: only servers of the service that the route names now were asked.
+    The operator moves a route's weight, or the route itself, to another
+    service; balancers that start later get packets of older flows. If they ask
+    only servers of the service that the route names now, they log ``flow
+    lost`` and reset a flow whose server lives and holds it.
     """
     world = two_services(('board', 90), ('printer', 10))
     feeds = serve_feeds(world, 40)
@@ -86,12 +86,12 @@
 
 
 def test_a_flow_that_a_late_balancer_placed_is_found() -> None:
-    """A feed is reset that a balancer with the older route has just opened.
+    """A flow that a balancer with an older route has just opened is found.
 
-    Symptom: as above.
-    Events: a route moves to another service; a balancer that has not heard of
-    it opens a flow at the former service; its packets come to another one.
-    Cause: the agent had told what it holds before that flow opened.
+    A route moves to another service; a balancer without that change opens a
+    flow at the former service; its packets reach another balancer. The agent
+    reported what it holds before that flow opened; if that report decides, the
+    feed is reset as above.
     """
     world = two_services(('board', 1))
     late = world.balancers()[0].host
@@ -120,12 +120,11 @@
 
 
 def test_other_services_cost_a_search_nothing() -> None:
-    """A lost flow is asked for at the agents of every service.
+    """A search for a lost flow skips agents that cannot hold it.
 
-    Symptom: at 54,000 targets each lost flow would cost as many questions.
-    Events: a server loses its flows; balancers search for them.
-    Cause: agents that know all their flows, and have told that they hold none
-    of the address, were asked all the same.
+    A server loses its flows; balancers search for them. If agents are asked
+    that know all their flows and have reported that they hold none of the
+    address, each lost flow costs 54,000 questions at as many targets.
     """
     world = two_services(('board', 1), others=40)
     feeds = serve_feeds(world, 20)
--- a/tests/packets/test_older_copy.py
+++ b/tests/packets/test_older_copy.py
@@ -1,4 +1,4 @@
-"""Test a store that comes back from a copy some seconds old."""
+"""Test a store that is restored from a copy some seconds old."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from bench import packet_world
 from teaseldock.packets import records
 
-#: Seconds after the store's return from which changes have their usual time.
+#: Seconds after the store's return until changes spread in the usual time.
 STABLE_S = 4.0
-#: Seconds in which a change must be in force everywhere.
+#: Seconds within which a change must be in force everywhere.
 IN_FORCE_S = 3.0
-#: Calls to the store in the seconds until it is stable: a whole read by each
-#: of a few readers and one by some that take over, besides their watches.
+#: Calls to the store in the seconds until it is stable: a full read by each of
+#: a few readers and one by some that take over, besides their watches.
 CALLS = 60
 
 FLEETS = ((4, 10), (8, 18), (20, 53))
 
 
 def routes(count: int) -> list[records.Route]:
-    """Return the route of the service, and others that see no traffic."""
+    """Return the route of the service, and others without traffic."""
     others = [
         packet_world.route('dispatch', port=1000 + i) for i in range(count)
     ]
@@ -31,7 +31,7 @@
 
 
 def write(world: packet_world.World, *, per_s: float, seconds: float) -> None:
-    """Let the operator and the servers write in turn."""
+    """Let the operator and the servers write alternately."""
     hosts = sorted(world.servers)
     steps = max(1, round(per_s * seconds))
     for step in range(steps):
@@ -49,24 +49,24 @@
 def lose(
     world: packet_world.World, lost_s: float, *, away_s: float = 1.0
 ) -> None:
-    """Let the store be away, and come back without its last writes."""
+    """Make the store unreachable, then restore it without its last writes."""
     world.store.go_away()
     world.run(away_s)
     world.store.come_back(lost_s + away_s)
 
 
 def drain(world: packet_world.World, host: str) -> records.Target:
-    """Let a server say that it leaves."""
+    """Let a server announce its departure."""
     server = world.servers[host]
     server.draining = True
     world.store.put(server)
     return server.entry()
 
 
-def who_lacks_drain(
+def processes_lacking_drain(
     world: packet_world.World, target: records.Target
 ) -> list[str]:
-    """Return the processes that would bring flows to a server that leaves."""
+    """Return the processes that would send flows to a leaving server."""
     return [
         process.host
         for process in world.processes.values()
@@ -78,8 +78,8 @@
     ]
 
 
-def who_lacks_version(world: packet_world.World) -> list[str]:
-    """Return the processes where the published configuration isn't used."""
+def processes_lacking_version(world: packet_world.World) -> list[str]:
+    """Return the processes that don't use the published configuration."""
     published = world.store.configuration
     assert published is not None
     return [
@@ -89,10 +89,10 @@
     ]
 
 
-def complaints(
+def violations(
     balancers: int, servers: int, lost_s: float, per_s: float
 ) -> list[str]:
-    """Play one return; return what was wrong afterwards."""
+    """Simulate one restore; return which limits were exceeded after it."""
     world = packet_world.small_world(
         balancers=balancers, servers=servers, link_mbps=100.0
     )
@@ -109,9 +109,9 @@
     world.run(IN_FORCE_S)
     play = f'{balancers + servers} processes, {lost_s} s at {per_s}/s'
     found = []
-    if lacking := who_lacks_drain(world, leaving):
+    if lacking := processes_lacking_drain(world, leaving):
         found.append(f'{play}: {len(lacking)} lack that a server leaves')
-    if lacking := who_lacks_version(world):
+    if lacking := processes_lacking_version(world):
         found.append(f'{play}: {len(lacking)} lack the configuration')
     if calls > CALLS:
         found.append(f'{play}: {calls} calls')
@@ -121,12 +121,12 @@
 def test_changes_after_a_return_from_an_older_copy_are_in_force_in_time() -> (
     None
 ):
-    """Guards against a fleet that takes revisions given out again for old."""
+    """Guards against processes that take reassigned revisions for old."""
     plays = itertools.product(FLEETS, (1.0, 3.0, 6.0, 10.0), (2.0, 8.0))
     found = [
         text
         for (balancers, servers), lost_s, per_s in plays
-        for text in complaints(balancers, servers, lost_s, per_s)
+        for text in violations(balancers, servers, lost_s, per_s)
     ]
     assert found == []
 
@@ -142,7 +142,7 @@
     world.store.go_away()
     world.run(1.0)
     world.store.come_back(lost_s + 1.0)
-    # More than was lost is written before anybody has called again.
+    # More writes than were lost follow before any process calls again.
     for host in sorted(world.servers):
         world.servers[host].slots += 100
         world.store.put(world.servers[host])
@@ -150,7 +150,7 @@
     assert published is not None
     world.store.configure(published.version + 50, routes(1))
     world.run(STABLE_S + IN_FORCE_S)
-    assert who_lacks_version(world) == []
+    assert processes_lacking_version(world) == []
     for process in world.processes.values():
         known = process.node.knowledge.targets.values()
         assert {item.slots > 100 for item in known} == {True}
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize('balancers', [4, 12])
 def test_a_copy_brings_no_older_version_back(balancers: int) -> None:
-    """Guards against a dropped route that works again after a return."""
+    """Guards against a dropped route that works again after a restore."""
     world = packet_world.small_world(balancers=balancers, servers=10)
     world.run(3.0)
     for version in (2, 3, 4):
@@ -172,7 +172,7 @@
 
 
 def test_a_server_whose_leaving_a_copy_lacks_gets_no_flows() -> None:
-    """Guards against new flows at a server that said that it leaves."""
+    """Guards against new flows at a server that announced its departure."""
     world = packet_world.small_world(balancers=4, servers=10)
     world.run(3.0)
     leaving = drain(world, sorted(world.servers)[3])
@@ -180,11 +180,11 @@
     lose(world, 1.5)
     for _ in range(100):
         world.run(0.05)
-        assert who_lacks_drain(world, leaving) == []
+        assert processes_lacking_drain(world, leaving) == []
 
 
 def test_a_server_that_a_copy_lacks_serves_on() -> None:
-    """Guards against a service without servers after a return."""
+    """Guards against a service without servers after a restore."""
     world = packet_world.World(balancers=3)
     world.store.configure(1, [packet_world.route('dispatch')])
     world.run(2.0)
@@ -217,7 +217,7 @@
 
 
 def test_an_evacuation_that_nobody_writes_again_ends() -> None:
-    """Guards against a data centre that gets no flows ever again."""
+    """Guards against a data centre that never gets flows again."""
     world = packet_world.small_world(balancers=4, servers=10)
     world.run(3.0)
     world.store.evacuate('elsewhere')
@@ -259,13 +259,13 @@
         world.run(draw.uniform(0.0, 2.0))
         world.store.refused.clear()
     world.run(STABLE_S + IN_FORCE_S)
-    assert who_lacks_version(world) == []
+    assert processes_lacking_version(world) == []
     for process in world.processes.values():
         assert packet_copies.is_alike(process), process.host
 
 
 def test_each_process_tells_a_return_once() -> None:
-    """Guards against logs in which a start looks like a return."""
+    """Guards against logs in which a start looks like a restore."""
     world = packet_world.small_world(balancers=3, servers=4)
     world.run(2.0)
     assert world.events('store era') == []
--- a/tests/packets/test_pulling.py
+++ b/tests/packets/test_pulling.py
@@ -1,4 +1,4 @@
-"""Test whom a process asks for changes, and what it takes."""
+"""Test which process is asked for changes, and which answers it accepts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def peer(host: str, revision: int) -> peers.Peer:
-    """Return a process that told its revision."""
+    """Return a process that reported its revision."""
     item = peers.Peer(host, is_balancer=True)
     item.record_heartbeat(
         control.Heartbeat(True, 1, False, revision, 0, False, None, b''),
@@ -26,7 +26,7 @@
 
 
 def test_one_question_at_a_time() -> None:
-    """A second process is asked only after a while, and is another one."""
+    """A second request follows only after a while, to another process."""
     asking = pulling.PullState(random.Random(1))
     ahead = [peer('10.0.0.1', 9), peer('10.0.0.2', 9)]
     first = asking.choose(ahead)
@@ -39,7 +39,7 @@
 
 
 def test_all_that_know_more_are_asked_alike() -> None:
-    """Not all ask the one that reads the store and knows most."""
+    """Requests are spread over all processes that have newer changes."""
     ahead = [peer('10.0.0.1', 7), peer('10.0.0.2', 9), peer('10.0.0.3', 8)]
     asked = {
         pulling.PullState(random.Random(seed)).choose(ahead).host
@@ -50,13 +50,12 @@
 
 
 def test_many_askers_leave_bytes_for_the_changes() -> None:
-    """Nothing new reaches anybody while everybody asks for it.
+    """Requests of many processes leave bytes for the changes themselves.
 
-    Symptom: for eleven seconds no process but the reader hears of a change;
-    new flows reach servers that leave. Each process asks five times a second.
-    Events: a process has used up its bytes; 194 others ask it.
-    Cause: it told each of them whom to ask instead, from the same bytes, and
-    so was deeper in debt with every second.
+    A process has used up its byte budget; 194 others each request changes from
+    it five times a second. If referrals are paid from the same budget, its
+    debt grows with every second: for eleven seconds no process but the reader
+    got a change, and new flows reached servers that were leaving.
     """
     world = packet_world.small_world()
     process = world.balancers()[0]
@@ -73,7 +72,7 @@
 
 
 def test_parts_from_two_processes_are_not_mixed() -> None:
-    """Both processes that were asked answer at once, part by part."""
+    """Parts of two answers that arrive at the same time are not mixed."""
     asking = pulling.PullState(random.Random(1))
     wanted = []
     for number, host in enumerate(('10.0.0.1', '10.0.0.2')):
@@ -97,11 +96,10 @@
 
 
 def test_an_answer_that_teaches_nothing_is_not_asked_for_at_once() -> None:
-    """Two processes send each other questions and answers all the time.
+    """An answer that brings nothing new is not requested again at once.
 
-    Symptom: hundreds of datagrams a second between two processes.
-    Events: a process can't take over what another one sends it.
-    Cause: it asked again as soon as it had the answer.
+    A process can't apply what another one sends it. If it asks again as soon
+    as it has the answer, the two exchange hundreds of datagrams a second.
     """
     world = packet_world.small_world()
     process = world.balancers()[0]
@@ -113,7 +111,7 @@
 
 
 def test_who_has_sent_enough_refers_to_others() -> None:
-    """Only those that were sent all of it are named, and never the asker."""
+    """Referrals name only processes that were sent all, never the asker."""
     asking = pulling.PullState(random.Random(1))
     assert asking.referral(9, '10.0.1.1') is None
     asking.record_sent('10.0.1.1', 9)
@@ -124,10 +122,10 @@
 
 @pytest.mark.parametrize('lost', [0.0, 0.2])
 def test_changes_of_strangers_are_not_taken(lost: float) -> None:
-    """Changes that nobody asked for change nothing, and are counted.
+    """Changes that were not requested are dropped and counted.
 
-    Symptom: an old configuration that a confused process sends to all.
-    Cause: changes were taken from any process that had been heard.
+    If changes are accepted from any known process, a faulty one can send an
+    old configuration to all.
     """
     world = packet_world.small_world()
     world.loss = lost
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -1,4 +1,4 @@
-"""Test who reads the store, and that a line tells why."""
+"""Test which processes read the store, and that a log line reports why."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def test_a_line_tells_who_reads_the_store_and_why() -> None:
-    """Two processes say that they read, being first, and the others nothing.
+    """The two readers log that they read, being first in rank.
 
-    Without it, nobody can tell from the logs whether a process that lagged
-    waited for others, or asked the store in vain.
+    Without these lines, the logs don't show whether a lagging process waited
+    for others or called the store in vain.
     """
     world = packet_world.small_world(balancers=6, servers=6)
     world.run(5.0)
@@ -39,7 +39,7 @@
 
 
 def test_whoever_takes_over_counts_it() -> None:
-    """The death of both readers shows in the counters of who follows."""
+    """The counters of the successors show the death of both readers."""
     world = packet_world.small_world(balancers=6, servers=6)
     for process in list(world.balancers()):
         if process.node.reads_store(world.now):
@@ -49,9 +49,9 @@
     assert sum(counter['reads_first_in_rank'] for counter in counters) >= 2
 
 
-#: Seconds until a process knows that a server leaves though nobody tells it.
-#: The users' bounds are 3 s for a dozen instances, 5 and 6 s for hundreds; a
-#: change has to be in force everywhere in 4 s at the size to design for.
+#: Seconds until a process knows that a server leaves if no peer sends that.
+#: Users require 3 s for a dozen instances, 5 and 6 s for hundreds; at the size
+#: to design for, a change has to be in force everywhere in 4 s.
 KNOWN_S = 4.0
 KNOWN_AMONG_FEW_S = 3.0
 
@@ -59,7 +59,7 @@
 def _seconds_until_known(
     world: packet_world.World, process: packet_world.Process, server_host: str
 ) -> float:
-    """Let a server say that it leaves; return when a process knows."""
+    """Drain a server; return the seconds until a process knows that."""
     server = world.servers[server_host]
     server.draining = True
     world.store.put(server)
@@ -71,32 +71,32 @@
     return world.now - since
 
 
-def _never_told(process: packet_world.Process) -> None:
-    """Let a process get no changes, as when nobody has bytes to send them."""
+def _block_changes(process: packet_world.Process) -> None:
+    """Let a process get no changes, as if peers had no bytes for them."""
     process.node._exchange.on_changes = lambda *_: None
     process.node._exchange.on_alerts = lambda *_: None
 
 
-def _hears_only_who_lags(
+def _limit_to_lagging_peers(
     world: packet_world.World, process: packet_world.Process
 ) -> None:
-    """Let a process hear nobody who knows more than it does itself."""
+    """Let a process receive no heartbeat that reports newer state."""
     node = process.node
-    hear = node._handle_heartbeat
+    handle = node._handle_heartbeat
     since = world.now
     revision = node.knowledge.content_revision
     alerted = node.knowledge.alerted
 
-    def hear_as_before(heartbeat, host, now, *, solicited):
+    def handle_as_lagging(heartbeat, host, now, *, solicited):
         age_ms = round(1000 * (now - since))
         heartbeat = heartbeat._replace(
             revision=min(revision, heartbeat.revision),
             alerted=min(alerted, heartbeat.alerted),
             alerts_age_ms=max(age_ms, heartbeat.alerts_age_ms),
         )
-        hear(heartbeat, host, now, solicited=solicited)
+        handle(heartbeat, host, now, solicited=solicited)
 
-    node._handle_heartbeat = hear_as_before
+    node._handle_heartbeat = handle_as_lagging
 
 
 @pytest.mark.parametrize(
@@ -106,17 +106,16 @@
 def test_an_agent_that_nobody_tells_knows_in_time_that_its_server_leaves(
     balancers: int, bound_s: float
 ) -> None:
-    """New flows reach a server that said that it leaves.
-
-    Symptom: openings were passed on to servers 6.2 s after they had said so;
+    """An agent to which no peer sends changes learns of a drain in time.
+
+    A thousand routes are added; 0.6 s later servers announce their departure.
+    The agent of one of them has flows of a route that moved, so that it has
+    contact with all balancers. These have the change, and don't send it. When
+    the agent read the store only after its turn among all balancers it had
+    contact with, 0.25 s for each, it knew after 5.55 s among 12 balancers and
+    not within 10 s among 30; among 4, where it doesn't wait, after 2 s.
+    Openings were then passed to servers 6.2 s after their announcement;
     nothing failed, only the servers' own logs show it.
-    Events: a thousand routes are new; 0.6 s later servers say that they
-    leave. The agent beside one of them has flows of a route that moved, so
-    that it talks with all balancers. They know more, and don't send it.
-    Cause: it read the store itself only after its turn among all balancers
-    that it heard, 0.25 s for each. Evidence: it knew after 5.55 s among 12
-    balancers and not within 10 s among 30; among 4, where nothing is waited
-    for, after 2 s.
     """
     world = packet_world.small_world(
         balancers=balancers, servers=2 * balancers
@@ -125,7 +124,7 @@
     process = world.processes[host]
     process.node._reports_to_all = lambda now: True
     world.run(3.0)
-    _never_told(process)
+    _block_changes(process)
     assert _seconds_until_known(world, process, host) <= bound_s
 
 
@@ -135,16 +134,17 @@
 def test_a_balancer_that_nobody_tells_knows_in_time_that_a_server_leaves(
     balancers: int, bound_s: float
 ) -> None:
-    """A balancer goes on placing flows at a server that left long ago.
+    """A balancer to which no peer sends changes learns of a drain in time.
 
-    Events: as above, at the balancer that is last in rank.
-    Cause: the same; 4.50 s among 12 balancers, 8.20 s among 30.
+    As above, at the balancer that is last in rank. When it waited for its
+    turn, it knew after 4.50 s among 12 balancers and after 8.20 s among 30,
+    and placed flows at the server until then.
     """
     world = packet_world.small_world(balancers=balancers, servers=6)
     process = max(
         world.balancers(), key=lambda item: peer.reader_rank(item.host)
     )
-    _never_told(process)
+    _block_changes(process)
     host = sorted(world.servers)[0]
     assert _seconds_until_known(world, process, host) <= bound_s
 
@@ -155,29 +155,29 @@
 def test_an_agent_that_hears_only_who_lags_reads_the_store(
     balancers: int, bound_s: float
 ) -> None:
-    """An agent lags for good, and nothing says so.
+    """An agent whose peers all lag reads the store.
 
-    Symptom: as above, for as long as the balancers that the agent hears lag.
-    Events: the balancers that an agent reports to know nothing newer either,
-    but pass on that somebody else had an answer of the store.
-    Cause: that answer counted, not what was proven at the agent; it would not
-    have read within 10 s, nor ever.
+    The balancers that an agent reports to have no newer state either, but
+    relay that another process had an answer of the store. If that answer
+    counts, not the agent's own proof, the agent doesn't read within 10 s, nor
+    later, and nothing reports that it lags.
     """
     world = packet_world.small_world(
         balancers=balancers, servers=2 * balancers
     )
     host = sorted(world.servers)[3]
     process = world.processes[host]
-    _hears_only_who_lags(world, process)
+    _limit_to_lagging_peers(world, process)
     assert _seconds_until_known(world, process, host) <= bound_s
 
 
 def test_a_store_that_is_away_makes_nobody_read_for_its_own_proof() -> None:
-    """An outage of the store makes the knowledge of all look old at once.
+    """No process reads for its own proof while the store is unreachable.
 
-    Events: the store turns everybody away for eight seconds, and returns; a
-    server says that it leaves. If each process read as soon as its knowledge
-    looked old, hundreds would call at one moment, and nothing would be gained.
+    The store rejects all calls for eight seconds, and returns; a server
+    announces its departure. During an outage the state of all processes looks
+    old at once. If each read the store then, hundreds would call at one
+    moment, without any gain.
     """
     world = packet_world.small_world(balancers=8, servers=18)
     world.store.up = False
@@ -195,14 +195,13 @@
 def test_a_store_that_is_away_is_left_alone_by_most(
     balancers: int, servers: int
 ) -> None:
-    """Calls to a store that answers nobody grow with the fleet.
-
-    Symptom: refused calls that are paid for, and a store that has hardly come
-    back when thousands of processes call it.
-    Events: the store turns everybody away for eight seconds, then returns.
-    Cause: whoever had failed no longer came before others, so that everybody
-    tried, and tried again each 0.8 s. Evidence: 260 calls of 26 processes in
-    eight seconds, 1,397 of 195.
+    """Calls to an unreachable store don't grow with the number of processes.
+
+    The store rejects all calls for eight seconds, then returns. When processes
+    whose calls failed no longer counted in the ranking, all of them called,
+    and again each 0.8 s: 260 calls of 26 processes in eight seconds, 1,397 of
+    195. Rejected calls are paid for, and a store that has just returned would
+    be called by thousands of processes.
     """
     world = packet_world.small_world(balancers=balancers, servers=servers)
     world.store.up = False
@@ -219,7 +218,7 @@
 
 
 def test_an_answer_from_before_what_was_known_is_no_proof() -> None:
-    """Guards against calls in a loop that look like fresh knowledge."""
+    """Guards against calls in a loop whose old answers count as proof."""
     world = packet_world.small_world(balancers=4, servers=6)
     world.run(3.0)
     known = world.store.revision
@@ -238,14 +237,14 @@
 def test_own_read_keeps_the_bound_that_the_operator_set(
     balancers: int, in_force_s: float, lost_calls: int
 ) -> None:
-    """Guards against windows that ignore the deployment's bounds."""
+    """Guards against waiting times that ignore the deployment's bounds."""
     world = packet_world.small_world(
         balancers=balancers, servers=2 * balancers, in_force_s=in_force_s
     )
     host = sorted(world.servers)[3]
     process = world.processes[host]
     world.run(3.0)
-    _never_told(process)
+    _block_changes(process)
     _lose_calls(world, process, lost_calls)
     assert _seconds_until_known(world, process, host) <= in_force_s
 
@@ -253,7 +252,7 @@
 def _lose_calls(
     world: packet_world.World, process: packet_world.Process, count: int
 ) -> None:
-    """Let the store's next answers to a process be lost."""
+    """Drop the store's next answers to a process."""
     call = world.store.call
     left = [count]
 
@@ -271,7 +270,7 @@
 def test_an_agent_that_gets_no_changes_knows_a_version_in_time(
     change: str,
 ) -> None:
-    """Guards against proof of alerts being taken for proof of all."""
+    """Guards against proof of alerts that counts as proof of all changes."""
     world = packet_world.small_world(balancers=4, servers=13)
     world.run(3.0)
     process = world.processes[sorted(world.servers)[3]]
--- a/tests/packets/test_route_table.py
+++ b/tests/packets/test_route_table.py
@@ -1,4 +1,4 @@
-"""Test that changes of configurations lead to the same routes everywhere."""
+"""Test that configuration changes lead to the same routes everywhere."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from teaseldock.packets import route_table
 
 ROUTES = 1600
-#: Bytes that a change of one route may take; all routes take some 7,000.
+#: Bytes that a change of one route may take; all routes take about 7,000.
 SMALL_BYTES = 300
 
 #: The ports of a configuration, and the timeout of each route.
@@ -35,7 +35,7 @@
 
 
 def changes(item: records.Configuration, since: int = 0) -> records.Changes:
-    """Return changes that bring a configuration."""
+    """Return changes that contain a configuration."""
     return records.Changes(since, item.revision, [], [], item)
 
 
@@ -70,12 +70,11 @@
 
 
 def test_a_change_of_one_route_is_small() -> None:
-    """A change of one timeout costs each process as much as 1,600 routes.
+    """A change of one timeout is sent in much less than all routes take.
 
-    Symptom: links are busy with configurations for seconds while the operator
-    changes one timeout after another.
-    Events: 1,600 routes are in force everywhere; one of them changes.
-    Cause: the whole configuration, 7 KB, went to everybody.
+    1,600 routes are in force everywhere; one of them changes. If the whole
+    configuration, 7 KB, is sent to all processes, links are busy for seconds
+    while the operator changes one timeout after another.
     """
     sender = knowledge.Knowledge()
     timeouts = dict.fromkeys(range(1, ROUTES + 1), 2500)
@@ -89,7 +88,7 @@
 
 
 def test_what_was_dropped_long_ago_is_forgotten() -> None:
-    """Dropped routes take no memory for ever; laggards get everything."""
+    """Old dropped routes are evicted; lagging processes get everything."""
     table = route_table.RouteTable()
     table.replace(config(1, {1: 1, 2: 1}))
     table.replace(config(2, {1: 1}))
--- a/tests/packets/test_storms.py
+++ b/tests/packets/test_storms.py
@@ -1,4 +1,4 @@
-"""Test that nothing makes processes drown each other in control traffic."""
+"""Test that no event lets processes flood each other with control traffic."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from teaseldock.packets import control_budget
 
 ROUTES = 1600
-#: Seconds after a trigger in which everything is as before.
+#: Seconds after the end of a fault until all is as before.
 CALM_S = 3.0
-#: Bytes of datagrams that go whatever the budget says, in a second: a balancer
-#: tells 12 others and those that report to it, and greets who has started.
+#: Bytes a second of datagrams that the budget doesn't limit: a balancer sends
+#: heartbeats to 12 others, to the processes that report to it and to started
+#: ones.
 HEARTBEATS_SLACK = 12_000
 
 
 def many_routes(version: int) -> list:
-    """Return a configuration whose routes all changed."""
+    """Return routes that all differ between versions, and the busy one."""
     return [
         packet_world.route('dispatch', port=1000 + number, aim_ms=version)
         for number in range(ROUTES)
@@ -28,14 +29,14 @@
 def fleet(
     *, balancers: int = 8, servers: int = 18, link_mbps: float = 2.0
 ) -> packet_world.World:
-    """Return a fleet behind slim links that has just got ready."""
+    """Return a world behind slow links that has just started."""
     return packet_world.small_world(
         balancers=balancers, servers=servers, link_mbps=link_mbps
     )
 
 
 def in_force(world: packet_world.World, version: int) -> int:
-    """Return at how many processes a version is in force."""
+    """Return the number of processes in which a version is in force."""
     return sum(
         process.node.knowledge.version == version
         for process in world.processes.values()
@@ -43,7 +44,7 @@
 
 
 def most_bytes(world: packet_world.World, since: float) -> int:
-    """Return the control bytes of the busiest second of a balancer."""
+    """Return the control bytes of a balancer's busiest second."""
     return max(
         (
             size
@@ -55,7 +56,7 @@
 
 
 def late_orders(world: packet_world.World, count: int = 40) -> int:
-    """Let callers send orders; return how many had no answer in time."""
+    """Let callers send orders; return how many got no answer in time."""
     orders = []
     for _ in range(count):
         orders.append(world.request(tries=1))
@@ -71,15 +72,15 @@
 def test_many_new_routes_do_not_fill_the_links(
     balancers: int, servers: int, link_mbps: float
 ) -> None:
-    """A configuration that is published harms callers for ten seconds.
-
-    Symptom: after 1,160 routes were added, openings get no answer, the store
-    looks lost, and 355 of 2,322 requests of a day end at their deadline.
-    Events: a configuration with 1,600 routes comes; balancers have links of
-    2 Mbit/s, 250 KB/s.
-    Cause: each balancer that had it sent it to all that had not yet said that
-    they had it, and again each 0.6 s; 215 to 466 KB/s left each balancer, and
-    what would have said "I have it" waited behind it.
+    """A published configuration does not fill the links of balancers.
+
+    A configuration with 1,600 routes is published; balancers have links of 2
+    Mbit/s, 250 KB/s. When each balancer that had it sent it to all that had
+    not acknowledged it, and again each 0.6 s, 215 to 466 KB/s left each
+    balancer, and the acknowledgements waited behind that. Callers were
+    affected for ten seconds: after 1,160 routes were added, openings got no
+    answer, the store looked lost, and 355 of 2,322 requests of a day ended at
+    their deadline.
     """
     world = fleet(balancers=balancers, servers=servers, link_mbps=link_mbps)
     began = world.now
@@ -96,11 +97,11 @@
 
 
 def test_control_does_not_grow_with_the_fleet() -> None:
-    """Each process sends as much among 200 as among 30, and it is little.
+    """A process sends as little control traffic among 200 as among 30.
 
-    Symptom: at 195 processes a balancer sends 20 KB/s when nothing happens,
-    and most processor time of the system goes into heartbeats.
-    Cause: every balancer told every process, every agent every balancer.
+    When every balancer sent heartbeats to every process, and every agent to
+    every balancer, a balancer among 195 processes sent 20 KB/s while nothing
+    happened, and most processor time of the system went into heartbeats.
     """
     spent = {}
     for balancers, servers in ((12, 28), (59, 136)):
@@ -148,7 +149,7 @@
 
 
 def heal(world: packet_world.World) -> None:
-    """End all troubles."""
+    """End all faults."""
     world.cut.clear()
     world.store.up = True
     world.loss = 0.0
@@ -187,12 +188,12 @@
 
 
 def test_new_flows_are_placed_by_answers_when_nothing_happens() -> None:
-    """Shares for what may come leave too little for what comes all the time.
+    """New flows are placed by the load that candidates report.
 
-    Symptom: lines "control budget dry" on a calm day, and one flow in eight is
+    200 new flows a second arrive at four balancers with ten servers. If the
+    budget's shares for occasional messages leave less than heartbeats need,
+    "control budget dry" is logged on a normal day, and one flow in eight is
     placed without asking how busy its candidates are.
-    Events: 200 new flows a second at four balancers before ten servers.
-    Cause: heartbeats alone took more than what the shares left.
     """
     world = packet_world.small_world(balancers=4, servers=10, service_s=0.04)
     for _ in range(2000):
