--- a/tests/packets/test_alerts.py
+++ b/tests/packets/test_alerts.py
@@ -279,7 +279,7 @@
     now: float,
     data: strategies.DataObject,
 ) -> None:
-    """Let one process that is drawn ask another, or start anew."""
+    """Let one drawn process request from another, or restart."""
     index = data.draw(strategies.integers(0, len(others) - 1))
     teller = data.draw(strategies.sampled_from([source, *others]))
     how = data.draw(strategies.sampled_from(['alerts', 'changes', 'start']))
@@ -375,7 +375,7 @@
 
 
 def _trouble(game: packet_news.Play, kind: str) -> None:
-    """Begin one trouble."""
+    """Start one fault."""
     if kind == 'freeze':
         game.freeze(2.5)
     elif kind == 'refuse':
--- a/tests/packets/test_storms.py
+++ b/tests/packets/test_storms.py
@@ -126,7 +126,7 @@
 
 
 def pull(world: packet_world.World, trigger: str, version: int) -> None:
-    """Let one trouble begin."""
+    """Start one fault."""
     hosts = sorted(world.processes)
     if trigger == 'routes':
         world.store.configure(version, many_routes(version))
