--- a/packages/teaseldock/teaseldock/packets/alerts.py
+++ b/packages/teaseldock/teaseldock/packets/alerts.py
@@ -97,12 +97,13 @@
         return self._latest.get((kind, subject), 0)
 
     def after(self, revision: int, upto: int) -> records.Alerts | None:
-        """Return the alerts that a process with all up to a revision lacks.
+        """Return the alerts that a process lacks.
 
+        :param revision: up to which the process has all alerts.
         :param upto: revision up to which all alerts are known here.
         :returns: None if nothing is known. If some of the missing alerts are
             unknown or no longer kept, the answer has the others, and its
-            ``upto`` does not exceed the requested revision.
+            ``upto`` does not exceed ``revision``.
         """
         if self._since is None:
             return None
--- a/packages/teaseldock/teaseldock/packets/readers.py
+++ b/packages/teaseldock/teaseldock/packets/readers.py
@@ -219,5 +219,5 @@
             < own
         ]
         self._rank_with_failing = len(before)
-        self._rank = sum(not heard.store_failing for heard in before)
+        self._rank = sum(not item.store_failing for item in before)
         return self._rank
--- a/packages/teaseldock/teaseldock/packets/route_table.py
+++ b/packages/teaseldock/teaseldock/packets/route_table.py
@@ -60,9 +60,9 @@
         return self._last_dropped
 
     def disable_route(self, address: bytes, revision: int) -> None:
-        """Stop using a route until a configuration of a revision arrives.
+        """Stop using a route until the configuration that drops it arrives.
 
-        :param revision: of the configuration that drops it.
+        :param revision: of that configuration.
         """
         if self._configuration is None:
             return
