--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -10,7 +10,7 @@
 from teaseldock.packets import control
 from teaseldock.packets import control_budget
 from teaseldock.packets import hints
-from teaseldock.packets import inquiry
+from teaseldock.packets import load_query
 from teaseldock.packets import locating
 from teaseldock.packets import mesh
 from teaseldock.packets import node
@@ -26,8 +26,8 @@
 #: they stay useful: by then the caller has sent a copy. Refusing them would
 #: use up the tries of callers that come back at once; after a loss of power
 #: 40 did so within the 0.1 s that it takes to hear from the store.
-EARLY_KEPT = 512
-EARLY_S = 0.2
+MAX_EARLY_PACKETS = 512
+EARLY_PACKET_TTL_S = 0.2
 #: Seconds without a word of any agent after which some are asked, and how
 #: many: a balancer that no agent reports to must know whether it is cut off.
 QUIET_S = 0.5
@@ -58,20 +58,20 @@
             inputs=lambda: self._flow_inputs,
             control_bytes=self._budget,
             catch_up=self._exchange.pull,
-            outlet=self._outlet,
+            io=self._io,
             reporter=self._reporter,
             meters=self._meters,
         )
-        self._inquiries = inquiry.Inquiries()
+        self._load_queries = load_query.LoadQueries()
         self._vanished: set[tuple[str, int]] = set()
         self._agent_heard_at = 0.0
         self._asked_quiet_at = 0.0
         self._early: collections.deque[tuple[packet.Packet, float]] = (
-            collections.deque(maxlen=EARLY_KEPT)
+            collections.deque(maxlen=MAX_EARLY_PACKETS)
         )
 
     @property
-    def flows_remembered(self) -> int:
+    def hinted_flows(self) -> int:
         """Return of how many flows the place is remembered."""
         return len(self._hints)
 
@@ -86,16 +86,16 @@
             return False
         if not self._knowledge.targets:
             return True
-        return now - self._agent_heard_at <= mesh.SILENT_S
+        return now - self._agent_heard_at <= mesh.HEARTBEAT_TIMEOUT_S
 
     def _on_heartbeat(self, peer: peers.Peer, now: float) -> None:
         if peer.is_balancer:
             return
         self._agent_heard_at = now
-        for waiting in self._inquiries.answered(peer.host):
+        for waiting in self._load_queries.answered(peer.host):
             self._place_asked(waiting, now)
 
-    def _on_knowledge(self, now: float) -> None:
+    def _on_store_change(self, now: float) -> None:
         self._targets.refresh(now)
         self._ask_vanished(now)
         self._serve_early(now)
@@ -108,7 +108,7 @@
         """
         vanished = {
             item.target.run: item.target.host
-            for item in self._knowledge.vanished(now)
+            for item in self._knowledge.recently_removed(now)
         }
         for run in vanished.keys() - self._vanished:
             self._ask(vanished[run], now)
@@ -119,10 +119,10 @@
         self._meters.counters['loads_asked'] += 1
         peer = self._mesh.peers.get(host)
         if peer is not None:
-            peer.asked(now)
+            peer.note_question_sent(now)
         self._send(
             host,
-            control.pack(control.KIND_ASK, 0, 0, b''),
+            control.pack(control.KIND_GET_LOAD, 0, 0, b''),
             control_budget.Purpose.QUESTION,
         )
 
@@ -130,7 +130,7 @@
         """Do what is due."""
         super().tick(now)
         self._serve_early(now)
-        for waiting in self._inquiries.overdue(now):
+        for waiting in self._load_queries.overdue(now):
             self._meters.counters['placed_without_answers'] += 1
             self._place_asked(waiting, now)
         self._locator.tick(now)
@@ -152,23 +152,23 @@
             self._ask(host, now)
 
     def _serve_early(self, now: float) -> None:
-        if not self._early or self.distrusts(now):
+        if not self._early or self.is_resyncing(now):
             return
         if not self._knowledge.usable:
             return
         early = list(self._early)
         self._early.clear()
         for item, at in early:
-            if now - at < EARLY_S:
+            if now - at < EARLY_PACKET_TTL_S:
                 self.on_packet(item, now)
 
     def on_packet(self, item: packet.Packet, now: float) -> None:
         """Handle a caller's packet from the fabric."""
         self._meters.counters['packets'] += 1
-        if not self._knowledge.usable or self.distrusts(now):
+        if not self._knowledge.usable or self.is_resyncing(now):
             self._early.append((item, now))
             return
-        route = self._knowledge.route(flows.service_of(item.flow))
+        route = self._knowledge.route(flows.packed_service_endpoint(item.flow))
         if item.opening:
             self._open(item, route, now)
             return
@@ -178,13 +178,15 @@
             return
         if hint is None:
             service = self._service_of(route, item.flow)
-            hint = self._hints.add(item.flow, service, hints.Place.SEARCHED)
-        if hint.place is hints.Place.OPENING:
+            hint = self._hints.add(
+                item.flow, service, hints.HintState.SEARCHED
+            )
+        if hint.state is hints.HintState.OPENING:
             # It has opened; a copy that still waits must not move it.
-            self._inquiries.drop(item.flow)
-        if hint.place is hints.Place.SEARCHED:
+            self._load_queries.drop(item.flow)
+        if hint.state is hints.HintState.SEARCHED:
             self._locator.search(item, hint, now)
-        elif hint.place is hints.Place.LOST:
+        elif hint.state is hints.HintState.LOST:
             self._locator.reset(item)
         else:
             self._forward(item, hint)
@@ -208,9 +210,9 @@
             self._refuse(item, 'no route')
             return
         hint = self._hints.get(item.flow)
-        if hint is None or hint.place is not hints.Place.OPENING:
+        if hint is None or hint.state is not hints.HintState.OPENING:
             service = self._service_of(route, item.flow)
-            hint = self._hints.add(item.flow, service, hints.Place.OPENING)
+            hint = self._hints.add(item.flow, service, hints.HintState.OPENING)
         elif item.acknowledged and hint.host is not None:
             # A copy comes when nothing has answered for 200 ms: the server is
             # silent or gone, or a packet was lost. Asking another one costs
@@ -247,11 +249,11 @@
             self._forward(item, hint)
             return
         if not usable:
-            self._refuse(item, self._targets.why_none(hint.service))
+            self._refuse(item, self._targets.refusal_reason(hint.service))
             return
         end = group * placing.CANDIDATES
         members = usable[end - placing.CANDIDATES : end]
-        asked = inquiry.whom_to_ask(members)
+        asked = load_query.candidates_to_query(members)
         if asked and self._may_ask(now):
             self._inquire(item, hint, members, asked, group, now)
             return
@@ -259,7 +261,9 @@
 
     def _may_ask(self, now: float) -> bool:
         question = control_budget.Purpose.QUESTION
-        return not self._inquiries.full and self._budget.allows(question, now)
+        return not self._load_queries.full and self._budget.allows(
+            question, now
+        )
 
     def _inquire(
         self,
@@ -270,22 +274,22 @@
         group: int,
         now: float,
     ) -> None:
-        enough = min(inquiry.ENOUGH, len(members))
+        enough = min(load_query.ENOUGH_ANSWERS, len(members))
         hosts = [member.target.host for member in asked]
-        self._inquiries.add(
-            inquiry.Inquiry(
+        self._load_queries.add(
+            load_query.LoadQuery(
                 item,
                 hint,
                 hosts=hosts,
                 group=group,
-                lacking=enough - (len(members) - len(asked)),
+                answers_missing=enough - (len(members) - len(asked)),
                 now=now,
             )
         )
         for host in hosts:
             self._ask(host, now)
 
-    def _place_asked(self, waiting: inquiry.Inquiry, now: float) -> None:
+    def _place_asked(self, waiting: load_query.LoadQuery, now: float) -> None:
         """Place a flow by the answers of its candidates."""
         hint = waiting.hint
         if self._hints.get(waiting.item.flow) is not hint:
@@ -309,11 +313,11 @@
         Those that have just answered come first: who did not may be gone.
         """
         looked = usable[: group * placing.CANDIDATES]
-        answered = [one for one in looked if inquiry.is_fresh(one)]
+        answered = [one for one in looked if load_query.is_fresh(one)]
         chosen = placing.pick(
             answered or looked, data_centre=self._data_centre
         )
-        more = len(usable) > len(looked) and group < inquiry.GROUPS
+        more = len(usable) > len(looked) and group < load_query.MAX_GROUPS
         if answered and more and placing.is_loaded(chosen):
             self._place(item, hint, now, group=group + 1)
             return
@@ -340,7 +344,7 @@
         hint = self._hints.get(item.flow)
         denied = len(hint.denied) if hint else 0
         self._hints.drop(item.flow)
-        self._inquiries.drop(item.flow)
+        self._load_queries.drop(item.flow)
         self._reporter.note(
             'refused',
             flow=reporting.flow_text(item.flow),
@@ -348,13 +352,13 @@
             denied=denied,
             **self._flow_inputs,
         )
-        self._outlet.reset_caller(item)
+        self._io.reset_caller(item)
 
     def _forward(self, item: packet.Packet, hint: hints.Hint) -> None:
         if hint.host is None:
             self._meters.counters['dropped_no_target'] += 1
             return
-        self._outlet.to_process(
+        self._io.to_process(
             hint.host,
             control.pack(control.KIND_PACKET, 0, hint.tag, item.raw),
         )
@@ -369,7 +373,7 @@
                 self._locator.on_located(envelope, hint, host, now)
             return
         if envelope.kind == control.KIND_RELAYED:
-            outcome = control.read_outcome(envelope.body)
+            outcome = control.read_relay_result(envelope.body)
             hint = self._hints.get(outcome.flow)
             if hint is not None:
                 self._locator.on_relayed(envelope, outcome, hint, now)
@@ -377,7 +381,7 @@
         if envelope.kind != control.KIND_RETURNED:
             self._meters.counters['dropped_not_for_balancer'] += 1
             return
-        item = self._outlet.read_packet(envelope.body)
+        item = self._io.read_packet(envelope.body)
         hint = self._hints.get(item.flow)
         if hint is None:
             self._meters.counters['dropped_returned'] += 1
@@ -388,7 +392,7 @@
         self, item: packet.Packet, hint: hints.Hint, host: str, now: float
     ) -> None:
         """Look elsewhere for a flow whose target does not hold it."""
-        if hint.place is hints.Place.LOST:
+        if hint.state is hints.HintState.LOST:
             self._locator.reset(item)
             return
         hint.denied.add(host)
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -12,7 +12,7 @@
 
 if typing.TYPE_CHECKING:
     from teaseldock.packets import candidates
-    from teaseldock.packets import outlet as outlets
+    from teaseldock.packets import io_interface
     from teaseldock.packets import packet
 
 Forward = typing.Callable[['packet.Packet', hints.Hint], None]
@@ -31,7 +31,7 @@
         inputs: Inputs,
         control_bytes: control_budget.ControlBudget,
         catch_up: CatchUp,
-        outlet: outlets.Outlet,
+        io: io_interface.IOInterface,
         reporter: reporting.Reporter,
         meters: reporting.Meters,
     ) -> None:
@@ -45,10 +45,10 @@
         self._targets = targets
         self._forward = forward
         self._inputs = inputs
-        self._outlet = outlet
+        self._io = io
         self._reporter = reporter
         self._meters = meters
-        self._searched: dict[bytes, hints.Hint] = {}
+        self._active_searches: dict[bytes, hints.Hint] = {}
         self._budget = control_bytes
         self._catch_up = catch_up
 
@@ -56,21 +56,21 @@
         self, item: packet.Packet, hint: hints.Hint, now: float
     ) -> None:
         """Keep a packet, and ask who holds its flow."""
-        hint.place = hints.Place.SEARCHED
+        hint.state = hints.HintState.SEARCHED
         hint.host = None
         if hint.search is None or hint.search.stale(now):
             self._meters.counters['searches'] += 1
             hosts = self._targets.holders(item.flow, hint, now)
             hint.search = searching.Search(hosts, now)
-            self._searched[item.flow] = hint
-        hint.search.keep(item)
+            self._active_searches[item.flow] = hint
+        hint.search.add_packet(item)
         self._ask(item.flow, hint, now)
 
     def tick(self, now: float) -> None:
         """Ask again where no answer came, and end old searches."""
-        for flow, hint in list(self._searched.items()):
+        for flow, hint in list(self._active_searches.items()):
             if hint.search is None or hint.search.stale(now):
-                del self._searched[flow]
+                del self._active_searches[flow]
                 continue
             self._ask(flow, hint, now)
 
@@ -78,20 +78,20 @@
         search = hint.search
         if search is None or search.probe is None:
             return
-        if search.over:
-            self._end_in_vain(flow, hint, search, now)
+        if search.all_denied:
+            self._conclude_not_found(flow, hint, search, now)
             return
         if not self._budget.allows(control_budget.Purpose.SEARCH, now):
             self._meters.counters['questions_delayed'] += 1
             return
-        for host in search.due():
+        for host in search.hosts_to_ask():
             search.asked(host)
             self._send(host, control.pack(control.KIND_LOCATE, 0, 0, flow))
-        if not search.due_for_relays(now):
+        if not search.hosts_for_relays(now):
             return
-        if search.relayed_times:
+        if search.relay_rounds:
             # Some were silent: their entries may be gone by now.
-            search.restrict(self._targets.holders(flow, hint, now))
+            search.set_hosts(self._targets.holders(flow, hint, now))
         self._ask_relays(flow, search, now)
 
     def _ask_relays(
@@ -104,22 +104,22 @@
 
         Each time another agent is asked first, should the last one be gone.
         """
-        hosts = search.due_for_relays(now)
+        hosts = search.hosts_for_relays(now)
         relays = self._targets.relays(flow, now) or hosts
-        turn = search.relayed_times
+        turn = search.relay_rounds
         search.relayed(now)
         raw = search.probe.raw
         for start in range(0, len(hosts), searching.HOSTS_PER_RELAY):
             part = hosts[start : start + searching.HOSTS_PER_RELAY]
-            errand = control.Errand(part, raw)
+            errand = control.RelayRequest(part, raw)
             relay = relays[turn % len(relays)]
-            self._send(relay, control.pack_errand(errand))
+            self._send(relay, control.pack_relay_request(errand))
             turn += 1
 
     def _send(self, host: str, datagram: bytes) -> None:
         self._meters.counters['asked'] += 1
         self._budget.spend(control_budget.Purpose.SEARCH, len(datagram))
-        self._outlet.to_process(host, datagram)
+        self._io.to_process(host, datagram)
 
     def on_located(
         self, answer: control.Envelope, hint: hints.Hint, host: str, now: float
@@ -129,19 +129,19 @@
         search = hint.search
         if search is None:
             return
-        if answer.detail == searching.Holding.HELD:
-            self._found(flow, hint, host, answer.tag, now)
+        if answer.detail == searching.LocateResult.HELD:
+            self._on_found(flow, hint, host, answer.tag, now)
             return
-        if answer.detail == searching.Holding.NOT_HELD:
-            search.deny(host, layout_revision)
+        if answer.detail == searching.LocateResult.NOT_HELD:
+            search.note_denial(host, layout_revision)
         else:
-            search.doubt(host)
+            search.note_unsure(host)
         self._ask(flow, hint, now)
 
     def on_relayed(
         self,
         answer: control.Envelope,
-        outcome: control.Outcome,
+        outcome: control.RelayResult,
         hint: hints.Hint,
         now: float,
     ) -> None:
@@ -149,14 +149,16 @@
         search = hint.search
         if search is None:
             return
-        if answer.detail == searching.Holding.HELD:
-            self._found(outcome.flow, hint, outcome.hosts[0], answer.tag, now)
+        if answer.detail == searching.LocateResult.HELD:
+            self._on_found(
+                outcome.flow, hint, outcome.hosts[0], answer.tag, now
+            )
             return
         for host in outcome.hosts:
-            search.deny(host, outcome.layout_revision)
+            search.note_denial(host, outcome.layout_revision)
         self._ask(outcome.flow, hint, now)
 
-    def _found(
+    def _on_found(
         self,
         flow: bytes,
         hint: hints.Hint,
@@ -171,7 +173,7 @@
             return
         hint.host = host
         hint.tag = tag
-        self._end(flow, hint, hints.Place.HINTED)
+        self._end(flow, hint, hints.HintState.HINTED)
         took_ms = (now - search.began) * 1000
         self._meters.time('search_found', took_ms)
         self._reporter.note(
@@ -184,7 +186,7 @@
         for item in search.take_packets():
             self._forward(item, hint)
 
-    def _end_in_vain(
+    def _conclude_not_found(
         self,
         flow: bytes,
         hint: hints.Hint,
@@ -198,15 +200,15 @@
         changes; without waiting for them the flow of a server that lives
         would be reset.
         """
-        if self._targets.lags(search.layout_revision, now):
+        if self._targets.is_behind(search.layout_revision, now):
             self._meters.counters['verdicts_delayed'] += 1
             self._catch_up(now)
             return
-        search.restrict(self._targets.holders(flow, hint, now))
-        if search.over:
-            self._give_up(flow, hint, search, now)
+        search.set_hosts(self._targets.holders(flow, hint, now))
+        if search.all_denied:
+            self._declare_lost(flow, hint, search, now)
 
-    def _give_up(
+    def _declare_lost(
         self,
         flow: bytes,
         hint: hints.Hint,
@@ -214,7 +216,7 @@
         now: float,
     ) -> None:
         """Reset a flow that nobody holds, so that its caller comes again."""
-        self._end(flow, hint, hints.Place.LOST)
+        self._end(flow, hint, hints.HintState.LOST)
         self._meters.counters['flows_lost'] += 1
         took_ms = (now - search.began) * 1000
         self._meters.time('search_lost', took_ms)
@@ -229,12 +231,14 @@
         for item in search.take_packets()[-1:]:
             self.reset(item)
 
-    def _end(self, flow: bytes, hint: hints.Hint, place: hints.Place) -> None:
-        hint.place = place
+    def _end(
+        self, flow: bytes, hint: hints.Hint, place: hints.HintState
+    ) -> None:
+        hint.state = place
         hint.search = None
-        self._searched.pop(flow, None)
+        self._active_searches.pop(flow, None)
 
     def reset(self, item: packet.Packet) -> None:
         """Reset a flow that is lost; a reset needs no answer."""
         if not item.resetting:
-            self._outlet.reset_caller(item)
+            self._io.reset_caller(item)
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -6,8 +6,8 @@
 
 from bench import packet_world
 from teaseldock.packets import peer
+from teaseldock.packets import read_schedule
 from teaseldock.packets import readers
-from teaseldock.packets import reading
 
 
 def test_a_line_tells_who_reads_the_store_and_why() -> None:
@@ -21,7 +21,7 @@
     reading = [
         process.host
         for process in world.balancers()
-        if process.node.reads(world.now)
+        if process.node.reads_store(world.now)
     ]
     assert len(reading) == readers.READERS
     last = {}
@@ -31,7 +31,7 @@
     for host in reading:
         event, fields = last[host]
         assert event == 'reads store'
-        assert fields['why'] == readers.Why.FIRST_IN_RANK.value
+        assert fields['why'] == readers.ReadReason.FIRST_IN_RANK.value
         assert fields['rank'] < readers.READERS
         assert fields['proof_age_s'] >= 0.0
     for host in last.keys() - set(reading):
@@ -42,7 +42,7 @@
     """The death of both readers shows in the counters of who follows."""
     world = packet_world.small_world(balancers=6, servers=6)
     for process in list(world.balancers()):
-        if process.node.reads(world.now):
+        if process.node.reads_store(world.now):
             world.kill(process.host)
     world.run(4.0)
     counters = [p.node.meters.counters for p in world.balancers()]
@@ -82,21 +82,21 @@
 ) -> None:
     """Let a process hear nobody who knows more than it does itself."""
     node = process.node
-    hear = node._hear
+    hear = node._handle_heartbeat
     since = world.now
     revision = node.knowledge.content_revision
     alerted = node.knowledge.alerted
 
-    def hear_as_before(heartbeat, host, now, *, asked):
+    def hear_as_before(heartbeat, host, now, *, solicited):
         age_ms = round(1000 * (now - since))
         heartbeat = heartbeat._replace(
             revision=min(revision, heartbeat.revision),
             alerted=min(alerted, heartbeat.alerted),
             alerts_age_ms=max(age_ms, heartbeat.alerts_age_ms),
         )
-        hear(heartbeat, host, now, asked=asked)
+        hear(heartbeat, host, now, solicited=solicited)
 
-    node._hear = hear_as_before
+    node._handle_heartbeat = hear_as_before
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
     )
     host = sorted(world.servers)[3]
     process = world.processes[host]
-    process.node._concerns_everybody = lambda now: True
+    process.node._reports_to_all = lambda now: True
     world.run(3.0)
     _never_told(process)
     assert _seconds_until_known(world, process, host) <= bound_s
@@ -215,7 +215,7 @@
     world.store.up = True
     host = sorted(world.servers)[0]
     seconds = _seconds_until_known(world, world.processes[host], host)
-    assert seconds < 2 * reading.LONGEST_RETRY_S
+    assert seconds < 2 * read_schedule.LONGEST_RETRY_S
 
 
 def test_an_answer_from_before_what_was_known_is_no_proof() -> None:
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -262,7 +262,9 @@
     promises.assert_safe(small)
 
 
-def test_the_list_misses_the_living(small: world.World) -> None:
+def test_target_missing_from_the_peer_list_keeps_serving(
+    small: world.World,
+) -> None:
     """A living target that the list forgot goes on working."""
     callers = feeds_on(small, 40)
     del small.listed['dispatch-1']
@@ -312,7 +314,9 @@
     caller = small.add_caller('dispatch')
     bucket = flow.bucket_of(caller.flow, key=world.KEYS.flow_hash)
     current = small.processes['dispatch-1'].node.view
-    service = current.table.at(flow.service_of(caller.flow))
+    service = current.table.service_at(
+        flow.packed_service_endpoint(caller.flow)
+    )
     names = sorted(service.weights)
     names.remove(current.owner(service, bucket))
     node = small.processes[names[0]].node
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -128,7 +128,7 @@
         node = small.processes[name].node
         coordinator = node.find('dispatch').holder.coordinator
         for call, pending in list(coordinator._pending.items()):
-            if pending.runner == name:
+            if pending.assignee == name:
                 continue
             forged = messages.Executed(
                 'tickets-5', 0, call, messages.Outcome.ANSWERED, b'', b''
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -176,7 +176,7 @@
     promises.assert_safe(small)
 
 
-def test_hand_on_repeat_is_answered_from_memory(small: world.World) -> None:
+def test_repeated_forward_gets_the_stored_answer(small: world.World) -> None:
     """A repeated hand-on gets the first one's answer, and runs once."""
     run = small
     node = run.processes['dispatch-2'].node
@@ -206,7 +206,9 @@
     assert [r.identity for r in run.ran].count('dispatch-0-1') == 1
 
 
-def test_what_nobody_consented_to_never_runs(small: world.World) -> None:
+def test_forwarded_request_without_consent_never_runs(
+    small: world.World,
+) -> None:
     """A request runs at a target that its sender has given up.
 
     Symptom: an order that was refused as "not run" runs after all, or one that
@@ -296,7 +298,7 @@
     promises.assert_safe(small)
 
 
-def test_what_is_pushed_out_is_refused_at_once(small: world.World) -> None:
+def test_evicted_request_is_refused_at_once(small: world.World) -> None:
     """A handed-on request that a heavier one pushes out is answered at once.
 
     Symptom: callers wait 20 s for "outcome unknown" under overload, though
@@ -398,7 +400,9 @@
     assert action.packet.role == proxy_header.Role.CHALLENGER
 
 
-def test_a_caller_carries_its_order_across_a_cut(small: world.World) -> None:
+def test_resent_orders_reach_their_challenger_across_a_partition(
+    small: world.World,
+) -> None:
     """Guards against orders that wait for what only their callers reach."""
     small.part(['dispatch-1', 'dispatch-2', 'balancer-1'])
     small.run_until(small.now + 8.0)
@@ -410,7 +414,7 @@
     promises.assert_safe(small)
 
 
-def test_a_caller_is_sent_round_for_a_bounded_time(small: world.World) -> None:
+def test_resends_during_a_partition_are_bounded(small: world.World) -> None:
     """Guards against a caller that is never told the outcome is unknown."""
     caller, holder = one_order(small)
     echo = _challenge_of(small.processes[holder].node, caller)
@@ -419,7 +423,7 @@
     node = small.processes[_other_than(small, holder)].node
     coordinator = node.find('dispatch').holder.coordinator
     codec = fake_codec.FakeCodec()
-    for message in range(resends.MESSAGES_AT_MOST):
+    for message in range(resends.MAX_RESENDS):
         request = codec.read_caller(_order(echo, message=message))
         (action,) = coordinator.on_request(caller.flow, request, small.now)
         answer = fake_codec.Answer(
@@ -432,7 +436,7 @@
     assert _unknown(coordinator.tick(small.now + 3.3))
 
 
-def test_an_order_handed_over_too_soon_is_asked_for_again(
+def test_order_handed_over_before_a_partition_is_noticed_is_resent(
     small: world.World,
 ) -> None:
     """Guards against orders lost to a cut that was not noticed yet."""
