--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -88,7 +88,9 @@
     return summary
 
 
-def choose(name: str, known: typing.Iterable[str]) -> list[str]:
+def select_from_environment(
+    name: str, known: typing.Iterable[str]
+) -> list[str]:
     """Return the part of a list that an environment variable names."""
     text = os.environ.get(name, '')
     wanted = [item for item in text.split(',') if item]
@@ -113,8 +115,10 @@
     tasks = [
         Task(deployment, scenario, policy, seed)
         for deployment in shapes.SHAPES
-        for scenario in choose('BENCH_SCENARIOS', known)
-        for policy in choose('BENCH_POLICIES', [OURS, *baselines.POLICIES])
+        for scenario in select_from_environment('BENCH_SCENARIOS', known)
+        for policy in select_from_environment(
+            'BENCH_POLICIES', [OURS, *baselines.POLICIES]
+        )
         for seed in range(first, first + count)
     ]
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as pool:
@@ -144,12 +148,12 @@
     if not options.check:
         return 0
     listed = bounds.known_red()
-    broken = bounds.check(runs)
-    for item in broken:
-        word = 'KNOWN RED' if item.check in listed else 'BOUND'
-        print(f'{word} {item.check}: {item.text}')
-    unlisted = [item for item in broken if item.check not in listed]
-    print(f'{len(broken) - len(unlisted)} known red, {len(unlisted)} new')
+    violations = bounds.check(runs)
+    for item in violations:
+        label = 'KNOWN RED' if item.check in listed else 'BOUND'
+        print(f'{label} {item.check}: {item.text}')
+    unlisted = [item for item in violations if item.check not in listed]
+    print(f'{len(violations) - len(unlisted)} known red, {len(unlisted)} new')
     return 1 if unlisted else 0
 
 
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -40,7 +40,7 @@
 
     @abc.abstractmethod
     def choose(
-        self, balancer: int, flow: int, able: list[str], run: BaselineRun
+        self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
         """Return one of the able targets."""
 
@@ -49,11 +49,11 @@
     """The flow's place in a rendezvous table."""
 
     def choose(
-        self, balancer: int, flow: int, able: list[str], run: BaselineRun
+        self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
         """Return the first able target in rank."""
         ranked = run.table.rank(hash((flow, 77)) % 256)
-        return next(name for name in ranked if name in able)
+        return next(name for name in ranked if name in eligible)
 
 
 class RoundRobin(Policy):
@@ -65,22 +65,22 @@
         self._next = [self._random.randrange(99) for _ in range(BALANCERS)]
 
     def choose(
-        self, balancer: int, flow: int, able: list[str], run: BaselineRun
+        self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
         """Return the next in turn."""
         self._next[balancer] += 1
-        return able[self._next[balancer] % len(able)]
+        return eligible[self._next[balancer] % len(eligible)]
 
 
 class LeastConnections(Policy):
     """The least loaded by reports that lag."""
 
     def choose(
-        self, balancer: int, flow: int, able: list[str], run: BaselineRun
+        self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
         """Return the least by the last report, at random among equals."""
         return min(
-            able, key=lambda n: (run.reported[n], self._random.random())
+            eligible, key=lambda n: (run.reported[n], self._random.random())
         )
 
 
@@ -88,10 +88,10 @@
     """The less loaded of two at random, by reports that lag."""
 
     def choose(
-        self, balancer: int, flow: int, able: list[str], run: BaselineRun
+        self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
         """Return the less loaded of two."""
-        picked = self._random.sample(able, min(2, len(able)))
+        picked = self._random.sample(eligible, min(2, len(eligible)))
         return min(picked, key=lambda n: run.reported[n])
 
 
@@ -99,10 +99,12 @@
     """The least loaded, known perfectly and at once; not deployable."""
 
     def choose(
-        self, balancer: int, flow: int, able: list[str], run: BaselineRun
+        self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
         """Return the least loaded, at random among equals."""
-        return min(able, key=lambda n: (run.busy(n), self._random.random()))
+        return min(
+            eligible, key=lambda n: (run.busy(n), self._random.random())
+        )
 
 
 POLICIES: dict[str, type[Policy]] = {
@@ -154,13 +156,13 @@
         self.servers = {name: _Server() for name in self.names}
         self.reported = dict.fromkeys(self.names, 0)
         self.lying: set[str] = set()
-        self.known_out = [set() for _ in range(BALANCERS)]
-        self.disabled = imbalance.Disabled()
+        self.excluded = [set() for _ in range(BALANCERS)]
+        self.disabled = imbalance.DisabledIntervals()
         self.capacity = count * shape.slots / scenario.service_s
         self.now = 0.0
-        self.ran: list[fakes.Ran] = []
-        self.asked: list[fakes.Asked] = []
-        self.feed_place: dict[int, str] = {}
+        self.ran: list[fakes.RequestRun] = []
+        self.asked: list[fakes.RequestOutcome] = []
+        self.feed_targets: dict[int, str] = {}
         self.broken_feeds: set[int] = set()
         self._events: list = []
         self._count = 0
@@ -186,16 +188,20 @@
             at = scenarios.WARM_S - 1.0 + self.random.random()
             self.schedule(at, self._feed_packet, feed)
         for at, name, argument in self.scenario.events:
-            self.schedule(scenarios.WARM_S + at, self._event, name, argument)
+            self.schedule(
+                scenarios.WARM_S + at, self._run_event, name, argument
+            )
         end = scenarios.WARM_S + scenarios.MEASURED_S + scenarios.TAIL_S
         while self._events and self._events[0][0] <= end:
             self.now, _, action, args = heapq.heappop(self._events)
             action(*args)
         return self._measure()
 
-    def _able(self, balancer: int) -> list[str]:
-        out = self.known_out[balancer]
-        return [name for name in self.names if name not in out] or self.names
+    def _eligible(self, balancer: int) -> list[str]:
+        excluded = self.excluded[balancer]
+        return [
+            name for name in self.names if name not in excluded
+        ] or self.names
 
     def _report(self) -> None:
         self.schedule(REPORT_S, self._report)
@@ -221,7 +227,9 @@
         self, flow: int, identity: str, guarded: bool, began: float, tries: int
     ) -> None:
         balancer = self.random.randrange(BALANCERS)
-        name = self.policy.choose(balancer, flow, self._able(balancer), self)
+        name = self.policy.choose(
+            balancer, flow, self._eligible(balancer), self
+        )
         server = self.servers[name]
         request = (flow, identity, guarded, began)
         if not server.alive:
@@ -232,7 +240,7 @@
             self._finish(request, 'not run')
             return
         server.queue.append((request, tries))
-        self._fill(name)
+        self._start_waiting(name)
 
     def _repeat(self, request: tuple, tries: int) -> None:
         """Let the caller repeat its message, as no answer came."""
@@ -242,14 +250,14 @@
         delay = fakes.CALLER_REPEAT_S * 2**tries
         self.schedule(delay, self._send, *request, tries + 1)
 
-    def _fill(self, name: str) -> None:
+    def _start_waiting(self, name: str) -> None:
         server = self.servers[name]
         while server.queue and server.running < self.shape.slots:
             request, tries = server.queue.pop(0)
             server.running += 1
             weight = 2.0 if request[2] else 1.0
             self.ran.append(
-                fakes.Ran(
+                fakes.RequestRun(
                     self.now,
                     name,
                     self.service,
@@ -268,55 +276,59 @@
             return
         server.running -= 1
         self._finish(request, 'answer')
-        self._fill(name)
+        self._start_waiting(name)
 
     def _finish(self, request: tuple, outcome: str) -> None:
         _, identity, guarded, began = request
         kind = self.shape.guarded if guarded else 'status'
         self.asked.append(
-            fakes.Asked(began, identity, kind, outcome, self.now - began)
+            fakes.RequestOutcome(
+                began, identity, kind, outcome, self.now - began
+            )
         )
 
     def _feed_packet(self, feed: int) -> None:
         """Send a feed's caller's packet; it must find its target."""
         balancer = self.random.randrange(BALANCERS)
-        able = self._able(balancer)
-        place = self.policy.choose(balancer, 10_000 + feed, able, self)
-        first = self.feed_place.setdefault(feed, place)
-        if place != first or not self.servers[first].alive:
+        eligible = self._eligible(balancer)
+        target = self.policy.choose(balancer, 10_000 + feed, eligible, self)
+        first = self.feed_targets.setdefault(feed, target)
+        if target != first or not self.servers[first].alive:
             self.broken_feeds.add(feed)
         if self.now < scenarios.WARM_S + scenarios.MEASURED_S:
             self.schedule(FEED_PACKET_S, self._feed_packet, feed)
 
-    def _event(self, name: str, argument: typing.Any) -> None:
+    def _run_event(self, name: str, argument: typing.Any) -> None:
         handler = getattr(self, f'_on_{name}', None)
         if handler is not None:
             handler(argument)
 
-    def _tell(self, name: str, out: bool, delay: float) -> None:
+    def _announce(self, name: str, exclude: bool, delay: float) -> None:
         for balancer in range(BALANCERS):
             spread = self.random.random() * SPREAD_S
             if self.policy_name == 'bound':
                 delay = spread = 0.0
-            self.schedule(delay + spread, self._learn, balancer, name, out)
+            self.schedule(
+                delay + spread, self._set_excluded, balancer, name, exclude
+            )
 
-    def _learn(self, balancer: int, name: str, out: bool) -> None:
-        if out or not self.servers[name].alive:
-            self.known_out[balancer].add(name)
+    def _set_excluded(self, balancer: int, name: str, exclude: bool) -> None:
+        if exclude or not self.servers[name].alive:
+            self.excluded[balancer].add(name)
         else:
-            self.known_out[balancer].discard(name)
+            self.excluded[balancer].discard(name)
 
     def _on_leaving(self, numbers: tuple[int, ...]) -> None:
         leaving = {self.names[n - 1] for n in numbers}
         for name in self.names:
-            self._tell(name, name in leaving, 0.0)
+            self._announce(name, name in leaving, 0.0)
             if name in leaving:
                 self.disabled.begin(name, self.now)
             else:
                 self.disabled.end(name, self.now)
 
     def _on_word(self, number: int) -> None:
-        self._tell(self.names[number - 1], True, 0.0)
+        self._announce(self.names[number - 1], True, 0.0)
         self.disabled.begin(self.names[number - 1], self.now)
 
     def _on_crash(self, number: int) -> None:
@@ -328,7 +340,7 @@
             self._repeat(request, tries)
         server.queue.clear()
         server.running = 0
-        self._tell(name, True, DETECTION_S)
+        self._announce(name, True, DETECTION_S)
 
     def _on_restart(self, number: int) -> None:
         self._on_crash(number)
@@ -337,7 +349,7 @@
     def _start_again(self, number: int) -> None:
         name = self.names[number - 1]
         self.servers[name] = _Server()
-        self._tell(name, False, 0.0)
+        self._announce(name, False, 0.0)
         self.disabled.end(name, self.now + 4.0)
 
     def _on_lie(self, numbers: tuple[int, ...]) -> None:
@@ -362,8 +374,10 @@
             start <= i.at + i.seconds < start + scenarios.MEASURED_S
             for i in answered
         )
-        of_kind = [i for i in self.asked if i.kind == self.shape.guarded]
-        good = sum(i.outcome == 'answer' for i in of_kind)
+        guarded_requests = [
+            i for i in self.asked if i.kind == self.shape.guarded
+        ]
+        good = sum(i.outcome == 'answer' for i in guarded_requests)
         latency = [item.seconds for item in answered]
         return {
             'broken_flows_weighted': broken,
@@ -381,7 +395,9 @@
             'misrouted': 0,
             'untrue_refusals': 0,
             'goodput': done / scenarios.MEASURED_S / self.capacity,
-            'goodput_guarded': good / len(of_kind) if of_kind else 1.0,
+            'goodput_guarded': (
+                good / len(guarded_requests) if guarded_requests else 1.0
+            ),
             'p99_latency_ms': 1000 * imbalance.percentile(latency, 0.99),
             'control_bytes_per_s_max': 0.0,
             'config_in_force_s_max': 0.0,
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -39,7 +39,7 @@
 KNOWN_RED = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
 
 
-class Break(typing.NamedTuple):
+class Violation(typing.NamedTuple):
     """A bound that does not hold.
 
     :ivar check: name by which KNOWN-RED.txt may list it.
@@ -57,53 +57,53 @@
     return {line.split()[0] for line in lines if line.strip()}
 
 
-def check(runs: list[dict[str, typing.Any]]) -> list[Break]:
+def check(runs: list[dict[str, typing.Any]]) -> list[Violation]:
     """Return each bound that a run of ours breaks."""
-    broken = []
+    violations = []
     for run in runs:
         if run['policy'] == OURS:
-            place = f'{run["deployment"]} {run["scenario"]}'
-            broken += [
-                Break(item.check, f'{place}: {item.text}')
-                for item in _check_one(run)
+            label = f'{run["deployment"]} {run["scenario"]}'
+            violations += [
+                Violation(item.check, f'{label}: {item.text}')
+                for item in _check_run(run)
             ]
-    return broken
+    return violations
 
 
-def _check_one(run: dict[str, typing.Any]) -> typing.Iterator[Break]:
+def _check_run(run: dict[str, typing.Any]) -> typing.Iterator[Violation]:
     for name in ZERO:
         if run[name]:
-            yield Break(name, f'{name} {run[name]}, bound 0')
+            yield Violation(name, f'{name} {run[name]}, bound 0')
     control = run['control_bytes_per_s_max']
     if control > CONTROL_BYTES_PER_S:
         text = f'control {control} bytes/s, bound {CONTROL_BYTES_PER_S}'
-        yield Break(f'bench/control-{run["scenario"]}', text)
+        yield Violation(f'bench/control-{run["scenario"]}', text)
     in_force = run['config_in_force_s_max']
     if in_force > IN_FORCE_S:
-        yield Break('in-force', f'in force after {in_force} s')
+        yield Violation('in-force', f'in force after {in_force} s')
     if scenarios.SCENARIOS[run['scenario']].planned:
         for name in ('broken_flows_weighted', 'unfinished'):
             if run[name]:
-                yield Break(name, f'{name} {run[name]}, bound 0')
+                yield Violation(name, f'{name} {run[name]}, bound 0')
     else:
         yield from _check_unexcused(run)
     bound = IMBALANCE_P99.get(f'{run["deployment"]}/{run["scenario"]}')
     if bound is not None and run['imbalance_p99'] > bound:
         text = f'imbalance p99 {run["imbalance_p99"]}, bound {bound}'
-        yield Break('imbalance', text)
+        yield Violation('imbalance', text)
     if run['scenario'] == 'double' and run['goodput'] < GOODPUT_DOUBLE:
         text = f'goodput {run["goodput"]}, bound {GOODPUT_DOUBLE}'
-        yield Break('goodput', text)
+        yield Violation('goodput', text)
 
 
-def _check_unexcused(run: dict[str, typing.Any]) -> typing.Iterator[Break]:
+def _check_unexcused(run: dict[str, typing.Any]) -> typing.Iterator[Violation]:
     unexcused = run['broken_unexcused_weighted']
     if not unexcused:
         return
     cause = 'partition' if run['scenario'] == 'partition' else 'crash'
     text = f'broken unexcused {unexcused}, bound 0'
-    yield Break(f'bench/unexcused-after-{cause}', text)
+    yield Violation(f'bench/unexcused-after-{cause}', text)
     ceiling = CEILINGS[run['scenario']] * run['seed_count']
     if unexcused > ceiling:
         text = f'broken unexcused {unexcused}, ceiling {ceiling}'
-        yield Break('unexcused-ceiling', text)
+        yield Violation('unexcused-ceiling', text)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -47,7 +47,7 @@
     }
 
 
-def _child(part: str, size: float) -> dict[str, float]:
+def _run_child(part: str, size: float) -> dict[str, float]:
     output = subprocess.run(
         [sys.executable, '-m', 'bench.capacity', part, str(size)],
         check=True,
@@ -85,7 +85,7 @@
 }
 
 
-def _one(part: str, size: float) -> dict[str, float]:
+def _measure_point(part: str, size: float) -> dict[str, float]:
     match part:
         case 'table':
             return asyncio.run(points.table_point(size))
@@ -107,11 +107,11 @@
 def main() -> int:
     """Measure one point, or all of them."""
     if len(sys.argv) == 3:
-        print(json.dumps(_one(sys.argv[1], float(sys.argv[2]))))
+        print(json.dumps(_measure_point(sys.argv[1], float(sys.argv[2]))))
         return 0
     report: dict[str, typing.Any] = {}
     for part, (sizes, x, measures) in PARTS.items():
-        measured = [_child(part, size) for size in sizes]
+        measured = [_run_child(part, size) for size in sizes]
         report[part] = {
             'points': measured,
             'fits': [fit(measured, x, y) for y in measures],
--- a/bench/consents.py
+++ b/bench/consents.py
@@ -18,7 +18,7 @@
 _IDENTITY = 8
 
 
-class Given(typing.NamedTuple):
+class SentConsent(typing.NamedTuple):
     """A consent as it was sent."""
 
     at: float
@@ -32,9 +32,9 @@
     def __init__(self) -> None:
         """Start with nothing handed on."""
         self._handed_on: dict[tuple[str, int, int, int], str] = {}
-        self._given: list[Given] = []
+        self._sent_consents: list[SentConsent] = []
 
-    def note(
+    def record_message(
         self, sender: str, receiver: str, message: typing.Any, now: float
     ) -> None:
         """Take a message that is sent.
@@ -58,15 +58,15 @@
                 message.incarnation,
             )
             identity = self._handed_on[key]
-            self._given.append(Given(now, receiver, identity))
+            self._sent_consents.append(SentConsent(now, receiver, identity))
 
-    def on_the_way(self, runner: str, now: float, *, hop_s: float) -> set[str]:
+    def in_flight(self, runner: str, now: float, *, hop_s: float) -> set[str]:
         """Return the requests whose consent was under way to an instance.
 
         :param hop_s: how long a message takes.
         """
         return {
             item.identity
-            for item in self._given
+            for item in self._sent_consents
             if item.runner == runner and 0.0 <= now - item.at <= hop_s
         }
--- a/bench/fake_codec.py
+++ b/bench/fake_codec.py
@@ -118,9 +118,17 @@
         value: bytes,
         sequence: int,
         identity: str,
-        after: int = 0,
+        retry_after_s: int = 0,
     ) -> bytes:
         mid = int.from_bytes(request.exchange[:4], 'big')
         return msgspec.msgpack.encode(
-            [mid, request.token, kind, value, sequence, after, identity]
+            [
+                mid,
+                request.token,
+                kind,
+                value,
+                sequence,
+                retry_after_s,
+                identity,
+            ]
         )
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -23,7 +23,7 @@
 FEED_GAP_S = 6.0
 
 
-class Ran(typing.NamedTuple):
+class RequestRun(typing.NamedTuple):
     """One line of a server's log."""
 
     at: float
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        owner: world.World,
+        simulation: world.World,
         instance: str,
         service: str,
         *,
@@ -48,7 +48,7 @@
         seed: int,
     ) -> None:
         """Start idle."""
-        self._world = owner
+        self._world = simulation
         self._instance = instance
         self._service = service
         self._slots = slots
@@ -60,9 +60,9 @@
         self.epoch = 0
         self.cold_until = 0.0
         self.up = True
-        owner.schedule(self._random.random() * FEED_S, self._notify)
+        simulation.schedule(self._random.random() * FEED_S, self._notify)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Lose everything that runs, waits or is observed."""
         self.up = False
         self.epoch += 1
@@ -96,7 +96,7 @@
         method, segment, identity = fields[3], fields[4], fields[8]
         weight = self._world.weights.get((method, segment), 1.0)
         guarded = method == 'POST'
-        ran = Ran(
+        ran = RequestRun(
             self._world.now,
             self._instance,
             self._service,
@@ -132,7 +132,7 @@
         self._world.schedule(FEED_S, self._notify)
 
 
-class Asked(typing.NamedTuple):
+class RequestOutcome(typing.NamedTuple):
     """One line of a caller's record."""
 
     at: float
@@ -146,23 +146,23 @@
     """One flow of a caller: requests one after another, or one feed."""
 
     def __init__(
-        self, owner: world.World, number: int, service: str, flow: bytes
+        self, simulation: world.World, number: int, service: str, flow: bytes
     ) -> None:
         """Start silent."""
-        self._world = owner
+        self._world = simulation
         self._service = service
         self.flow = flow
         self.number = number
         self._count = 0
         self._mid = 0
-        self._open: dict[bytes, dict[str, typing.Any]] = {}
+        self._pending: dict[bytes, dict[str, typing.Any]] = {}
         self.feed: dict[str, typing.Any] | None = None
         self.flow_broken = False
 
     @property
     def unfinished(self) -> int:
         """Return how many requests have no final answer."""
-        return len(self._open)
+        return len(self._pending)
 
     def ask(
         self, method: str, segment: str, *, deadline_s: float | None = None
@@ -180,7 +180,7 @@
             'deadline': deadline_s,
             'began': self._world.now,
         }
-        self._open[token] = state
+        self._pending[token] = state
         self._transmit_new(state, None)
         return identity
 
@@ -200,7 +200,7 @@
             'gap': 0.0,
             'notes': 0,
         }
-        self._open[b'feed'] = self.feed
+        self._pending[b'feed'] = self.feed
         self._transmit_new(self.feed, 0)
 
     def _transmit_new(
@@ -230,7 +230,7 @@
         mid: int,
         repeats: int,
     ) -> None:
-        if state['token'] not in self._open or state['mid'] != mid:
+        if state['token'] not in self._pending or state['mid'] != mid:
             return
         if repeats > CALLER_REPEATS:
             self._finish(state, 'lost')
@@ -246,9 +246,9 @@
         )
 
     def _finish(self, state: dict[str, typing.Any], outcome: str) -> None:
-        del self._open[state['token']]
+        del self._pending[state['token']]
         self._world.asked.append(
-            Asked(
+            RequestOutcome(
                 state['began'],
                 state['identity'],
                 state['segment'],
@@ -261,9 +261,9 @@
         """Take a datagram from the fabric."""
         answer = fake_codec.Answer(*msgspec.msgpack.decode(payload))
         if answer.kind == 'note':
-            self._on_note(answer)
+            self._on_notification(answer)
             return
-        state = self._open.get(answer.token)
+        state = self._pending.get(answer.token)
         if state is None or state['mid'] != answer.message_id:
             return
         if answer.kind == 'challenge':
@@ -274,11 +274,11 @@
         if outcome == 'answer' and answer.identity != state['identity']:
             outcome = 'crossed'
         if state is self.feed:
-            self._on_note(answer)
+            self._on_notification(answer)
         self._finish(state, outcome)
         self._world.answered(self, outcome, answer.retry_after_s)
 
-    def _on_note(self, answer: fake_codec.Answer) -> None:
+    def _on_notification(self, answer: fake_codec.Answer) -> None:
         feed = self.feed
         if feed is None or answer.sequence <= feed['sequence']:
             return
--- a/bench/imbalance.py
+++ b/bench/imbalance.py
@@ -10,7 +10,7 @@
     from bench import fakes
 
 
-class Disabled:
+class DisabledIntervals:
     """When each target of the first service could not take new work."""
 
     def __init__(self) -> None:
@@ -28,13 +28,15 @@
         if since is not None:
             self._spans.append((name, since, at + 3.0))
 
-    def able(self, names: list[str], start: float, end: float) -> list[str]:
+    def eligible(
+        self, names: list[str], start: float, end: float
+    ) -> list[str]:
         """Return the targets that were able throughout a window."""
-        out = {name for name, since in self._since.items() if since < end}
+        excluded = {name for name, since in self._since.items() if since < end}
         for name, since, until in self._spans:
             if since < end and until > start:
-                out.add(name)
-        return [name for name in names if name not in out]
+                excluded.add(name)
+        return [name for name in names if name not in excluded]
 
 
 def percentile(values: list[float], share: float) -> float:
@@ -46,9 +48,9 @@
 
 
 def window_ratios(
-    ran: list[fakes.Ran],
+    ran: list[fakes.RequestRun],
     names: list[str],
-    disabled: Disabled,
+    disabled: DisabledIntervals,
     *,
     seconds: range,
 ) -> list[float]:
@@ -69,8 +71,8 @@
             windows[int(item.at)][item.instance] += item.weight
     ratios = []
     for second in seconds:
-        able = disabled.able(names, second, second + 1)
-        loads = [windows[second][name] for name in able]
+        eligible = disabled.eligible(names, second, second + 1)
+        loads = [windows[second][name] for name in eligible]
         if loads and sum(loads):
             ratios.append(max(loads) * len(loads) / sum(loads))
     return ratios
--- a/bench/path.py
+++ b/bench/path.py
@@ -47,15 +47,15 @@
     return sink
 
 
-def _values(**more: typing.Any) -> dict[str, typing.Any]:
-    nowhere = flow.Endpoint('127.0.0.1', 1)
+def _values(**overrides: typing.Any) -> dict[str, typing.Any]:
+    unused = flow.Endpoint('127.0.0.1', 1)
     return {
         'name': 'dispatch-1',
         'data-centre': 'dc-1',
-        'peer': nowhere,
-        'admin': nowhere,
-        'listen': nowhere,
-        'fabric': nowhere,
+        'peer': unused,
+        'admin': unused,
+        'listen': unused,
+        'fabric': unused,
         'platform': 'http://127.0.0.1:1',
         'seal-keys': (bytes.fromhex(_KEY),),
         'hash-key': (bytes.fromhex(_KEY),),
@@ -64,22 +64,22 @@
         'start-spread': 0.0,
         'stop-limit': 1.0,
         'linger': 1.0,
-        **more,
+        **overrides,
     }
 
 
 def _documents(sink: socket.socket) -> list[typing.Any]:
     """Return register and rules whose agents are all the sink."""
-    drive = world.World(shapes.PRAIRIE, seed=1)
+    simulation = world.World(shapes.PRAIRIE, seed=1)
     port = sink.getsockname()[1]
-    for number, instance in enumerate(drive.register['instances']):
+    for number, instance in enumerate(simulation.register['instances']):
         instance['address'] = f'127.0.1.{number + 1}'
         instance['peer_port'] = port
-    drive.publish('register', drive.register)
-    return list(drive.documents.values())
+    simulation.publish('register', simulation.register)
+    return list(simulation.documents.values())
 
 
-class _Pair:
+class _SocketPair:
     """A socket that is read, and one that fills it."""
 
     def __init__(self) -> None:
@@ -96,18 +96,18 @@
             self.outer.send(datagram)
 
 
-def _bare(pair: _Pair, to: tuple[str, int]) -> float:
+def _time_bare_loop(pair: _SocketPair, destination: tuple[str, int]) -> float:
     began = time.perf_counter()
     while True:
         try:
             datagram, _ = pair.inner.recvfrom(65535)
         except BlockingIOError:
             break
-        pair.inner.sendto(datagram, to)
+        pair.inner.sendto(datagram, destination)
     return time.perf_counter() - began
 
 
-def _drain(pair: _Pair, handle: typing.Callable) -> float:
+def _time_handler(pair: _SocketPair, handle: typing.Callable) -> float:
     began = time.perf_counter()
     while True:
         try:
@@ -119,12 +119,12 @@
 
 
 def _plain_packets() -> list[bytes]:
-    chance = random.Random(5)
+    generator = random.Random(5)
     service = flow.Endpoint('10.9.0.1', 5683)
     return [
         proxy_header.pack_plain(
             flow.flow_key(
-                flow.Endpoint('10.8.0.1', chance.randrange(1024, 65535)),
+                flow.Endpoint('10.8.0.1', generator.randrange(1024, 65535)),
                 service,
             ),
             PAYLOAD,
@@ -136,18 +136,18 @@
 def _balancer_ratio() -> float:
     """Return the balancer's packets a second over the bare loop's."""
     sink = _sink()
-    to = sink.getsockname()
-    built = balancer_application.BalancerProgram(_values(name='balancer-1'))
-    built._offer(_documents(sink))
-    built._node._caught_up = True
+    destination = sink.getsockname()
+    program = balancer_application.BalancerProgram(_values(name='balancer-1'))
+    program._offer(_documents(sink))
+    program._node._caught_up = True
     datagrams = _plain_packets()
     ratios = []
-    pair = _Pair()
+    pair = _SocketPair()
     for _ in range(ROUNDS):
         pair.fill(datagrams)
-        bare = _bare(pair, to)
+        bare = _time_bare_loop(pair, destination)
         pair.fill(datagrams)
-        ratios.append(bare / _drain(pair, built.on_datagram))
+        ratios.append(bare / _time_handler(pair, program.on_datagram))
     return statistics.median(ratios)
 
 
@@ -156,14 +156,16 @@
 
     endpoint = None
 
-    def __init__(self, sender: socket.socket, to: tuple[str, int]) -> None:
+    def __init__(
+        self, sender: socket.socket, destination: tuple[str, int]
+    ) -> None:
         self._sender = sender
-        self._to = to
+        self._destination = destination
         self.calls: list[int] = []
 
     def send(self, datagram: bytes, *, call: int) -> None:
         """Send it to the sink and note the call."""
-        self._sender.sendto(datagram, self._to)
+        self._sender.sendto(datagram, self._destination)
         self.calls.append(call)
 
     def tick(self, now: float, *, busy: bool) -> None:
@@ -177,45 +179,45 @@
     datagram to the caller: the bare loop passes two datagrams on.
     """
     sink = _sink()
-    to = sink.getsockname()
-    built = agent_application.AgentProgram(_values(fabric=to))
-    built._offer(_documents(sink))
-    built._node._caught_up = True
-    item = built._agent.find('dispatch')
+    destination = sink.getsockname()
+    program = agent_application.AgentProgram(_values(fabric=destination))
+    program._offer(_documents(sink))
+    program._node._caught_up = True
+    item = program._agent.find('dispatch')
     item.holder._executor.set_slots(10_000)
     item.holder._executor._started_at -= 60.0
-    link = _NullLink(built._peer.raw, to)
-    built._links['dispatch'] = link
+    link = _NullLink(program._peer.raw, destination)
+    program._links['dispatch'] = link
     service = flow.Endpoint('10.9.0.1', 5683)
     key = flow.flow_key(flow.Endpoint('10.8.0.1', 4000), service)
     item.holder.add_flow(key)
     item.holder.mark_verified(key)
     ratios = []
-    pair = _Pair()
+    pair = _SocketPair()
     mid = 0
     for _ in range(ROUNDS):
         packets = []
         for _ in range(BATCH // 2):
             mid += 1
-            packets.append(_get_packet(key, item.service.number, mid))
+            packets.append(_get_request_packet(key, item.service.number, mid))
         pair.fill(packets)
-        bare = _bare(pair, to)
+        bare = _time_bare_loop(pair, destination)
         pair.fill(packets)
-        bare += _bare(pair, to)
+        bare += _time_bare_loop(pair, destination)
         pair.fill(packets)
-        spent = _drain(pair, built._on_peer)
+        spent = _time_handler(pair, program._on_peer)
         answers = [_answer(call) for call in link.calls]
         link.calls.clear()
         pair.fill(answers)
-        spent += _drain(
+        spent += _time_handler(
             pair,
-            lambda datagram, address: built._on_server('dispatch', datagram),
+            lambda datagram, address: program._on_server('dispatch', datagram),
         )
         ratios.append(bare / spent)
     return statistics.median(ratios)
 
 
-def _get_packet(key: bytes, number: int, mid: int) -> bytes:
+def _get_request_packet(key: bytes, number: int, mid: int) -> bytes:
     message = aiocoap.Message(code=aiocoap.GET, payload=b'x' * 40)
     message.opt.uri_path = ('status',)
     message.mtype = aiocoap.CON
@@ -237,9 +239,9 @@
 
 def bytes_per_flow() -> float:
     """Return memory of one held flow, with very many of them."""
-    drive = world.World(shapes.PRAIRIE, seed=1)
-    drive.run_until(1.0)
-    holder = drive.processes['dispatch-1'].node.find('dispatch').holder
+    simulation = world.World(shapes.PRAIRIE, seed=1)
+    simulation.run_until(1.0)
+    holder = simulation.processes['dispatch-1'].node.find('dispatch').holder
     service = flow.Endpoint('10.9.0.1', 5683)
     gc.collect()
     tracemalloc.start()
@@ -312,7 +314,7 @@
     return times
 
 
-async def _measure() -> dict[str, float]:
+async def _measure_ratios() -> dict[str, float]:
     figures = {
         'balancer_over_bare': _balancer_ratio(),
         'agent_requests_over_bare': _agent_ratio(),
@@ -322,7 +324,7 @@
 
 def measure() -> dict[str, float]:
     """Return ratios, sizes, and times as notes."""
-    figures = asyncio.run(_measure())
+    figures = asyncio.run(_measure_ratios())
     figures['bytes_per_flow'] = bytes_per_flow()
     figures.update(table_times())
     return {name: round(value, 3) for name, value in figures.items()}
--- a/bench/points.py
+++ b/bench/points.py
@@ -50,7 +50,7 @@
     return 0.0
 
 
-def _parts(fraction: float) -> list[configuration.Document]:
+def _documents_in_parts(fraction: float) -> list[configuration.Document]:
     """Return register and rules of a share of the letter's size, in parts."""
     instances = max(50, int(DAEMONS * fraction))
     services = int(ADDRESSES * fraction)
@@ -123,7 +123,7 @@
 async def table_point(fraction: float) -> dict[str, float]:
     """Hold a share of the whole table in a balancer and change it."""
     base = resident_mb()
-    documents = _parts(fraction)
+    documents = _documents_in_parts(fraction)
     largest = max(len(item.content) for item in documents)
     program = balancer_application.BalancerProgram(
         path._values(name='balancer-1')
@@ -170,7 +170,7 @@
     """Hold a share of the whole table in an agent, which routes little."""
     base = resident_mb()
     program = agent_application.AgentProgram(path._values(name='instance-5'))
-    program._node.offer(_parts(fraction), 0.0, wall_s=0.0)
+    program._node.offer(_documents_in_parts(fraction), 0.0, wall_s=0.0)
     gc.collect()
     return {
         'targets': TARGETS * fraction,
@@ -242,15 +242,15 @@
     for member in others.values():
         ping = messages.Ping(1, member, False, 1, 1, [])
         subject.on_message(ping, now, heartbeat)
-    chance = random.Random(2)
+    generator = random.Random(2)
     names = list(others.values())
     # A member of the region has died and another has just started.
     dead = names[0]._replace(health=messages.Health.DEAD, counter=3)
-    born = names[1]._replace(incarnation=10)
-    rumour = messages.Ping(1, names[2], False, 1, 1, [dead, born])
+    restarted = names[1]._replace(incarnation=10)
+    rumour = messages.Ping(1, names[2], False, 1, 1, [dead, restarted])
     subject.on_message(rumour, now, heartbeat)
     began = time.process_time()
-    aside = 0.0
+    excluded_s = 0.0
     while now < SECONDS:
         now += 0.05
         for action in subject.tick(now, heartbeat):
@@ -264,18 +264,18 @@
                 ),
                 key=key,
             )
-            aside += time.process_time() - paused
+            excluded_s += time.process_time() - paused
             message = wire.unpack(answer, keys=[key])
             subject.on_message(message, now, heartbeat)
-        if chance.random() < 0.05 * 2:
-            ping = messages.Ping(7, chance.choice(names), False, 1, 1, [])
+        if generator.random() < 0.05 * 2:
+            ping = messages.Ping(7, generator.choice(names), False, 1, 1, [])
             packed = wire.pack(ping, key=key)
             message = wire.unpack(packed, keys=[key])
             for action in subject.on_message(message, now, heartbeat):
                 packed = wire.pack(action.message, key=key)
                 sizes['bytes'] += len(packed)
                 sizes['messages'] += 1
-    spent = time.process_time() - began - aside
+    spent = time.process_time() - began - excluded_s
     return {
         'members': count,
         'cpu_percent': 100 * spent / SECONDS,
@@ -286,9 +286,9 @@
 
 def flows_point(count: int) -> dict[str, float]:
     """Let one agent hold many flows and tick."""
-    drive = world.World(shapes.PRAIRIE, seed=1)
-    drive.run_until(2.0)
-    node = drive.processes['dispatch-1'].node
+    simulation = world.World(shapes.PRAIRIE, seed=1)
+    simulation.run_until(2.0)
+    node = simulation.processes['dispatch-1'].node
     holder = node.find('dispatch').holder
     service = flow.Endpoint('10.9.0.1', 5683)
     gc.collect()
@@ -319,13 +319,13 @@
     shape = shapes.Shape(
         'x', (('dispatch', targets),), 4, 0.001, 0.001, 'orders', 'dispatch'
     )
-    drive = world.World(shape, seed=1)
-    drive.run_until(6.0)
-    agents = [n for n in drive.processes if n.startswith('dispatch')]
+    simulation = world.World(shape, seed=1)
+    simulation.run_until(6.0)
+    agents = [n for n in simulation.processes if n.startswith('dispatch')]
     sent: collections.Counter[str] = collections.Counter()
     spent: collections.Counter[str] = collections.Counter()
-    send = drive._send_message
-    handle = drive._on_packet
+    send = simulation._send_message
+    handle = simulation._on_packet
 
     def count(name: str, action: messages.ToPeer) -> None:
         if not isinstance(action.message, traffic.DATA_MESSAGES):
@@ -338,16 +338,16 @@
         handle(name, packet)
         spent['seconds'] += time.process_time() - began
 
-    drive._send_message = count
-    drive._on_packet = measure
-    drive.run_until(16.0)
+    simulation._send_message = count
+    simulation._on_packet = measure
+    simulation.run_until(16.0)
     quiet = sent['bytes'] / 10.0 / len(agents)
     before = sent['bytes']
     flows = int(10 * rate * targets)
     for number in range(flows):
-        caller = drive.add_caller('dispatch')
-        drive.schedule(number * 10.0 / flows, caller.ask, 'GET', 's')
-    drive.run_until(27.0)
+        caller = simulation.add_caller('dispatch')
+        simulation.schedule(number * 10.0 / flows, caller.ask, 'GET', 's')
+    simulation.run_until(27.0)
     return {
         'targets_of_service': targets,
         'flows_per_s': rate,
@@ -362,26 +362,26 @@
     shape = shapes.Shape(
         'x', (('dispatch', 3),), 2, 0.0015, 0.003, 'orders', 'dispatch'
     )
-    drive = world.World(shape, seed=1, balancers=processes - 3)
-    drive.run_until(30.0)
-    reads = drive.reads
+    simulation = world.World(shape, seed=1, balancers=processes - 3)
+    simulation.run_until(30.0)
+    reads = simulation.reads
     longest = 0.0
     for step in range(CHANGES_SPREAD):
-        drive.rules['leaving'] = [f'dispatch-{step % 2 + 1}']
-        revision = drive.publish('rules', drive.rules)
-        began = drive.now
-        drive.run_until(began + 5.0)
-        for process in drive.processes.values():
+        simulation.rules['leaving'] = [f'dispatch-{step % 2 + 1}']
+        revision = simulation.publish('rules', simulation.rules)
+        began = simulation.now
+        simulation.run_until(began + 5.0)
+        for process in simulation.processes.values():
             at = process.in_force.get(revision, float('inf'))
             longest = max(longest, at - began)
     windows = range(6, 6 + CHANGES_SPREAD)
     return {
         'processes': processes,
         'in_force_s_max': longest,
-        'reads_for_each_change': (drive.reads - reads) / CHANGES_SPREAD,
+        'reads_for_each_change': (simulation.reads - reads) / CHANGES_SPREAD,
         'control_bytes_per_s_max': max(
             process.control[window]
-            for process in drive.processes.values()
+            for process in simulation.processes.values()
             for window in windows
         )
         / world.CONTROL_WINDOW_S,
--- a/bench/programs.py
+++ b/bench/programs.py
@@ -46,7 +46,7 @@
         }
         before = {name: _cpu_seconds(pid) for name, pid in pids.items()}
         time.sleep(MEASURED_S)
-        found: dict[str, dict[str, float]] = {}
+        maxima: dict[str, dict[str, float]] = {}
         statuses = dep.statuses()
         for name, pid in pids.items():
             status = statuses[name.removeprefix('agent-')]
@@ -54,20 +54,22 @@
             if status['reader']:
                 role += '_that_reads'
             spent = _cpu_seconds(pid) - before[name]
-            _raise(found, role, 'cpu_percent', 100 * spent / MEASURED_S)
-            _raise(found, role, 'resident_mb', _resident_mb(pid))
+            _keep_maximum(
+                maxima, role, 'cpu_percent', 100 * spent / MEASURED_S
+            )
+            _keep_maximum(maxima, role, 'resident_mb', _resident_mb(pid))
             rate = status['control_bytes_per_s']
-            _raise(found, role, 'control_bytes_per_s', rate)
-        return found
+            _keep_maximum(maxima, role, 'control_bytes_per_s', rate)
+        return maxima
     finally:
         dep.stop()
 
 
-def _raise(
-    found: dict[str, dict[str, float]],
+def _keep_maximum(
+    maxima: dict[str, dict[str, float]],
     role: str,
     name: str,
     value: typing.Any,
 ) -> None:
-    of_role = found.setdefault(role, {})
+    of_role = maxima.setdefault(role, {})
     of_role[name] = max(of_role.get(name, 0.0), value)
--- a/bench/report.py
+++ b/bench/report.py
@@ -16,7 +16,7 @@
 BUILD = pathlib.Path('build')
 FOLDER = BUILD / 'report'
 #: The letter's size on each axis of the capacity plots.
-LETTER = {'targets': 54_000, 'members': 1_150, 'flows': 27_000}
+REQUIRED_SIZES = {'targets': 54_000, 'members': 1_150, 'flows': 27_000}
 _TABLE = (
     'imbalance_p50',
     'imbalance_p99',
@@ -35,7 +35,7 @@
     return json.loads(path.read_text()) if path.exists() else {}
 
 
-def _bars(
+def _draw_bars(
     runs: list[dict[str, typing.Any]], measure: str, title: str, name: str
 ) -> None:
     scenarios = list(dict.fromkeys(run['scenario'] for run in runs))
@@ -48,11 +48,11 @@
             for run in runs
             if run['policy'] == policy
         }
-        places = [
+        positions = [
             number + index * width - 0.4 for number in range(len(scenarios))
         ]
         heights = [values.get(scenario, 0.0) for scenario in scenarios]
-        axes.bar(places, heights, width, label=policy)
+        axes.bar(positions, heights, width, label=policy)
     axes.set_xticks(range(len(scenarios)), scenarios, rotation=40, ha='right')
     axes.set_title(title)
     if measure.startswith('imbalance'):
@@ -63,19 +63,19 @@
     pyplot.close(figure)
 
 
-def _slopes(capacity: dict[str, typing.Any]) -> list[str]:
+def _draw_fits(capacity: dict[str, typing.Any]) -> list[str]:
     drawn = []
     for part, content in capacity.items():
         if 'fits' not in content:
             continue
         for fit in content['fits']:
             name = f'capacity-{part}-{fit["y"]}.png'
-            _slope(content['points'], fit, f'{part}: {fit["y"]}', name)
+            _draw_fit(content['points'], fit, f'{part}: {fit["y"]}', name)
             drawn.append(name)
     return drawn
 
 
-def _slope(
+def _draw_fit(
     points: list[dict[str, float]],
     fit: dict[str, typing.Any],
     title: str,
@@ -83,13 +83,13 @@
 ) -> None:
     xs = [point[fit['x']] for point in points]
     ys = [point[fit['y']] for point in points]
-    end = max(max(xs), LETTER.get(fit['x'], 0))
+    end = max(max(xs), REQUIRED_SIZES.get(fit['x'], 0))
     figure, axes = pyplot.subplots(figsize=(5.5, 3.5))
     axes.plot(xs, ys, 'o')
     line = [fit['intercept'], fit['slope'] * end + fit['intercept']]
     axes.plot([0, end], line)
-    if fit['x'] in LETTER:
-        axes.axvline(LETTER[fit['x']], linestyle=':')
+    if fit['x'] in REQUIRED_SIZES:
+        axes.axvline(REQUIRED_SIZES[fit['x']], linestyle=':')
     axes.set_xlabel(fit['x'])
     axes.set_title(title)
     figure.tight_layout()
@@ -121,11 +121,11 @@
         chosen = [run for run in runs if run['deployment'] == deployment]
         for measure in ('imbalance_p99', 'broken_flows_weighted'):
             name = f'{deployment}-{measure}.png'
-            _bars(chosen, measure, f'{deployment}: {measure}', name)
+            _draw_bars(chosen, measure, f'{deployment}: {measure}', name)
             page += [f'![{measure}]({name})', '']
     if runs:
         page += [_table(runs), '']
-    page += [f'![{name}]({name})' for name in _slopes(capacity)]
+    page += [f'![{name}]({name})' for name in _draw_fits(capacity)]
     (FOLDER / 'index.md').write_text('\n'.join(page) + '\n')
     print(FOLDER / 'index.md')
     return 0
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -46,11 +46,11 @@
     hot: float = 0.0
 
 
-def _leaving(*steps: tuple[float, tuple[int, ...]]) -> tuple:
+def _leaving_events(*steps: tuple[float, tuple[int, ...]]) -> tuple:
     return tuple((at, 'leaving', numbers) for at, numbers in steps)
 
 
-_TEN = _leaving(*((1.1 * n, (n % 4 + 1,)) for n in range(10)))
+_TEN_CHANGES = _leaving_events(*((1.1 * n, (n % 4 + 1,)) for n in range(10)))
 SCENARIOS = {
     item.name: item
     for item in (
@@ -60,7 +60,7 @@
         Scenario('steady-80-slow', 0.8, 0.1),
         Scenario('steady-95-slow', 0.95, 0.1),
         Scenario('double', 2.0, 0.02),
-        Scenario('drain', 0.6, 0.02, _leaving((2.0, (1,)), (8.0, ()))),
+        Scenario('drain', 0.6, 0.02, _leaving_events((2.0, (1,)), (8.0, ()))),
         Scenario('crash', 0.6, 0.02, ((3.0, 'crash', 1),), planned=False),
         Scenario('cold-start', 0.6, 0.02, ((2.0, 'restart', 1),), False),
         Scenario(
@@ -88,12 +88,12 @@
         ),
         Scenario('lying-reports', 0.8, 0.02, ((0.0, 'lie', (1, 2)),)),
         Scenario('hot-caller', 0.8, 0.02, hot=0.3),
-        Scenario('ten-changes', 0.5, 0.02, _TEN),
+        Scenario('ten-changes', 0.5, 0.02, _TEN_CHANGES),
         Scenario(
             'changes-and-crashes',
             0.5,
             0.02,
-            _TEN + ((2.5, 'crash', 6), (5.0, 'balancer', 1)),
+            _TEN_CHANGES + ((2.5, 'crash', 6), (5.0, 'balancer', 1)),
             planned=False,
         ),
     )
@@ -115,68 +115,75 @@
         self.service, count = shape.services[0]
         self.names = [f'{self.service}-{n}' for n in range(1, count + 1)]
         self.capacity = count * shape.slots / scenario.service_s
-        self.disabled = imbalance.Disabled()
+        self.disabled = imbalance.DisabledIntervals()
         self.excused_flows: set[bytes] = set()
         self.excused: set[str] = set()
         self.balancers = 3
 
     def run(self) -> dict[str, typing.Any]:
         """Let it happen and return the measures."""
-        drive = self.world
-        drive.run_until(WARM_S - 1.0)
-        self.callers = [drive.add_caller(self.service) for _ in range(CALLERS)]
-        self.others = [
-            drive.add_caller(self.shape.services[1][0]) for _ in range(40)
+        simulation = self.world
+        simulation.run_until(WARM_S - 1.0)
+        self.callers = [
+            simulation.add_caller(self.service) for _ in range(CALLERS)
+        ]
+        self.other_callers = [
+            simulation.add_caller(self.shape.services[1][0]) for _ in range(40)
+        ]
+        self.feeds = [
+            simulation.add_caller(self.service) for _ in range(FEEDS)
         ]
-        self.feeds = [drive.add_caller(self.service) for _ in range(FEEDS)]
         for feed in self.feeds:
             feed.observe()
         self._arrive()
         self._arrive_other()
         for at, name, argument in self.scenario.events:
-            drive.schedule(
-                WARM_S + at - drive.now, self._event, name, argument
+            simulation.schedule(
+                WARM_S + at - simulation.now, self._run_event, name, argument
             )
-        drive.run_until(WARM_S + MEASURED_S + TAIL_S)
+        simulation.run_until(WARM_S + MEASURED_S + TAIL_S)
         return self._measure()
 
     def _arrive(self) -> None:
-        drive = self.world
-        if drive.now > WARM_S + MEASURED_S:
+        simulation = self.world
+        if simulation.now > WARM_S + MEASURED_S:
             return
         rate = self.scenario.load * self.capacity
-        drive.schedule(drive.random.expovariate(rate), self._arrive)
-        caller = drive.random.choice(self.callers)
-        if self.scenario.hot and drive.random.random() < self.scenario.hot:
+        simulation.schedule(simulation.random.expovariate(rate), self._arrive)
+        caller = simulation.random.choice(self.callers)
+        if (
+            self.scenario.hot
+            and simulation.random.random() < self.scenario.hot
+        ):
             caller = self.callers[0]
-        if drive.random.random() < GUARDED_SHARE:
+        if simulation.random.random() < GUARDED_SHARE:
             caller.ask('POST', self.shape.guarded)
         else:
             caller.ask('GET', 'status')
 
     def _arrive_other(self) -> None:
-        drive = self.world
-        if drive.now > WARM_S + MEASURED_S:
+        simulation = self.world
+        if simulation.now > WARM_S + MEASURED_S:
             return
         count = self.shape.services[1][1]
         capacity = count * self.shape.slots / self.scenario.service_s
-        wait = drive.random.expovariate(OTHER_LOAD * capacity)
-        drive.schedule(wait, self._arrive_other)
-        drive.random.choice(self.others).ask('PUT', 'scans')
+        wait = simulation.random.expovariate(OTHER_LOAD * capacity)
+        simulation.schedule(wait, self._arrive_other)
+        simulation.random.choice(self.other_callers).ask('PUT', 'scans')
 
-    def _event(self, name: str, argument: typing.Any) -> None:
+    def _run_event(self, name: str, argument: typing.Any) -> None:
         getattr(self, f'_on_{name}')(argument)
 
     def _on_leaving(self, numbers: tuple[int, ...]) -> None:
-        drive = self.world
+        simulation = self.world
         leaving = [self.names[n - 1] for n in numbers]
         for name in self.names:
             if name in leaving:
-                self.disabled.begin(name, drive.now)
+                self.disabled.begin(name, simulation.now)
             else:
-                self.disabled.end(name, drive.now)
-        drive.rules['leaving'] = leaving
-        drive.publish('rules', drive.rules)
+                self.disabled.end(name, simulation.now)
+        simulation.rules['leaving'] = leaving
+        simulation.publish('rules', simulation.rules)
 
     def _on_word(self, number: int) -> None:
         self.disabled.begin(self.names[number - 1], self.world.now)
@@ -195,9 +202,9 @@
         for item in self.world.ran:
             if item.instance == name and item.identity not in answered:
                 self.excused.add(item.identity)
-        drive = self.world
-        self.excused |= drive.consents.on_the_way(
-            name, drive.now, hop_s=drive.shape.hop_s
+        simulation = self.world
+        self.excused |= simulation.consents.in_flight(
+            name, simulation.now, hop_s=simulation.shape.hop_s
         )
 
     def _on_crash(self, number: int) -> None:
@@ -211,19 +218,19 @@
         self.world.schedule(3.0, self._start_again, number)
 
     def _start_again(self, number: int) -> None:
-        drive = self.world
-        server = drive.servers[self.names[number - 1], self.service]
+        simulation = self.world
+        server = simulation.servers[self.names[number - 1], self.service]
         server.up = True
-        server.cold_until = drive.now + 3.0
-        drive.start_agent(drive.register['instances'][number - 1])
-        self.disabled.end(self.names[number - 1], drive.now + 4.0)
+        server.cold_until = simulation.now + 3.0
+        simulation.start_agent(simulation.register['instances'][number - 1])
+        self.disabled.end(self.names[number - 1], simulation.now + 4.0)
 
     def _on_balancer(self, number: int) -> None:
-        drive = self.world
+        simulation = self.world
         self.balancers += 1
-        drive.start_balancer(f'balancer-{self.balancers}')
-        drive.list_leaving(f'balancer-{number}')
-        drive.leave(f'balancer-{number}')
+        simulation.start_balancer(f'balancer-{self.balancers}')
+        simulation.list_leaving(f'balancer-{number}')
+        simulation.leave(f'balancer-{number}')
 
     def _on_down(self, _: None) -> None:
         self.world.set_platform(False)
@@ -247,12 +254,12 @@
         """Do nothing: the decisions read no endpoint that could lie."""
 
     def _measure(self) -> dict[str, typing.Any]:
-        drive = self.world
-        asked = [item for item in drive.asked if item.kind != 'feed']
-        runs = collections.Counter(item.identity for item in drive.ran)
-        broken, unexcused = self._broken(asked)
+        simulation = self.world
+        asked = [item for item in simulation.asked if item.kind != 'feed']
+        runs = collections.Counter(item.identity for item in simulation.ran)
+        broken, unexcused = self._broken_flows(asked)
         ratios = imbalance.window_ratios(
-            drive.ran, self.names, self.disabled, seconds=MEASURED_SECONDS
+            simulation.ran, self.names, self.disabled, seconds=MEASURED_SECONDS
         )
         answered = [item for item in asked if item.outcome == 'answer']
         return {
@@ -261,7 +268,9 @@
             'imbalance_p50': imbalance.percentile(ratios, 0.5),
             'imbalance_p99': imbalance.percentile(ratios, 0.99),
             'lost': sum(item.outcome == 'lost' for item in asked),
-            'unfinished': sum(c.unfinished for c in drive.callers.values()),
+            'unfinished': sum(
+                c.unfinished for c in simulation.callers.values()
+            ),
             'outcome_unknown': sum(
                 item.outcome == 'outcome unknown' for item in asked
             ),
@@ -269,11 +278,12 @@
                 item.outcome == 'not run' for item in asked
             ),
             'ran_twice': len(
-                {r.identity for r in drive.ran if r.guarded}
+                {r.identity for r in simulation.ran if r.guarded}
                 & {identity for identity, n in runs.items() if n > 1}
             ),
             'misrouted': sum(
-                not r.identity.startswith(f'{r.service}-') for r in drive.ran
+                not r.identity.startswith(f'{r.service}-')
+                for r in simulation.ran
             )
             + sum(item.outcome == 'crossed' for item in asked),
             'untrue_refusals': sum(
@@ -281,24 +291,26 @@
                 for item in asked
             ),
             'goodput': self._goodput(answered),
-            'goodput_guarded': self._guarded(asked),
+            'goodput_guarded': self._guarded_goodput(asked),
             'p99_latency_ms': 1000
             * imbalance.percentile([item.seconds for item in answered], 0.99),
             'control_bytes_per_s_max': max(
                 rate
-                for process in drive.processes.values()
+                for process in simulation.processes.values()
                 for rate in process.control.values()
             )
             / world.CONTROL_WINDOW_S,
-            'config_in_force_s_max': self._in_force(),
+            'config_in_force_s_max': self._longest_in_force_s(),
             'ratios': ratios,
         }
 
-    def _broken(self, asked: list[fakes.Asked]) -> tuple[float, float]:
+    def _broken_flows(
+        self, asked: list[fakes.RequestOutcome]
+    ) -> tuple[float, float]:
         guarded = self.shape.guarded
         total = 0.0
         unexcused = 0.0
-        flows = {f'{c.number}': c.flow for c in drive_callers(self.world)}
+        flows = {f'{c.number}': c.flow for c in all_callers(self.world)}
         for item in asked:
             if item.outcome not in ('lost', 'outcome unknown'):
                 continue
@@ -316,7 +328,7 @@
                 unexcused += 1.0
         return total, unexcused
 
-    def _goodput(self, answered: list[fakes.Asked]) -> float:
+    def _goodput(self, answered: list[fakes.RequestOutcome]) -> float:
         """Return answers of the first service over its capacity."""
         done = sum(
             item.identity.startswith(f'{self.service}-')
@@ -325,13 +337,13 @@
         )
         return done / MEASURED_S / self.capacity
 
-    def _guarded(self, asked: list[fakes.Asked]) -> float:
+    def _guarded_goodput(self, asked: list[fakes.RequestOutcome]) -> float:
         """Return the share of guarded requests that were answered."""
-        of_kind = [i for i in asked if i.kind == self.shape.guarded]
-        good = sum(item.outcome == 'answer' for item in of_kind)
-        return good / len(of_kind) if of_kind else 1.0
+        guarded_requests = [i for i in asked if i.kind == self.shape.guarded]
+        good = sum(item.outcome == 'answer' for item in guarded_requests)
+        return good / len(guarded_requests) if guarded_requests else 1.0
 
-    def _in_force(self) -> float:
+    def _longest_in_force_s(self) -> float:
         longest = 0.0
         for process in self.world.processes.values():
             for revision, at in process.in_force.items():
@@ -341,6 +353,6 @@
         return longest
 
 
-def drive_callers(drive: world.World) -> list[fakes.FakeCaller]:
+def all_callers(simulation: world.World) -> list[fakes.FakeCaller]:
     """Return all callers of a run."""
-    return list(drive.callers.values())
+    return list(simulation.callers.values())
--- a/bench/world.py
+++ b/bench/world.py
@@ -72,8 +72,8 @@
         self.service_s = service_s
         self.now = 0.0
         self.random = random.Random(seed)
-        self.ran: list[fakes.Ran] = []
-        self.asked: list[fakes.Asked] = []
+        self.ran: list[fakes.RequestRun] = []
+        self.asked: list[fakes.RequestOutcome] = []
         self.weights = {('POST', shape.guarded): 2.0}
         self.processes: dict[str, Process] = {}
         self.servers: dict[tuple[str, str], fakes.FakeServer] = {}
@@ -83,7 +83,7 @@
         self.listed: dict[str, roster.ListedInstance] = {}
         self.platform_up = True
         self.list_lag_s = 0.5
-        self.parted: dict[str, int] = {}
+        self.partition_of: dict[str, int] = {}
         self.loss = 0.0
         self.duplicate = 0.0
         self.reads = 0
@@ -94,7 +94,7 @@
         self._revision = 0
         self._addresses: dict[tuple[str, int], str] = {}
         self._fabric: list[str] = []
-        self._starts = 0
+        self._start_count = 0
         self.register, self.rules = shapes.documents(shape)
         self.publish('register', self.register)
         self.publish('rules', self.rules)
@@ -135,10 +135,10 @@
         self.documents[key] = document
         self.published[self._revision] = self.now
         for name in list(self.processes):
-            self.schedule(PLATFORM_S, self._watch, name)
+            self.schedule(PLATFORM_S, self._on_platform_change, name)
         return self._revision
 
-    def _watch(self, name: str) -> None:
+    def _on_platform_change(self, name: str) -> None:
         process = self.processes[name]
         if not process.alive or not self.platform_up:
             return
@@ -151,7 +151,7 @@
         """Take the platform down, or bring it back."""
         self.platform_up = up
         for name in self.processes:
-            self.schedule(PLATFORM_S, self._watch, name)
+            self.schedule(PLATFORM_S, self._on_platform_change, name)
 
     def _offer(
         self, name: str, documents: list[configuration.Document]
@@ -165,33 +165,33 @@
 
     def _read_list(self) -> None:
         self.schedule(LIST_S, self._read_list)
-        seen = list(self.listed.values())
-        self.schedule(self.list_lag_s, self._take_list, seen)
+        listing = list(self.listed.values())
+        self.schedule(self.list_lag_s, self._deliver_list, listing)
 
-    def _take_list(self, seen: list[roster.ListedInstance]) -> None:
+    def _deliver_list(self, listing: list[roster.ListedInstance]) -> None:
         if not self.platform_up:
             return
         self._fabric = [
             item.name
-            for item in seen
+            for item in listing
             if item.role == roster.ROLE_BALANCER and not item.leaving_since
         ]
         for name, process in self.processes.items():
             if process.alive and process.node.is_reader:
                 self.reads += 1
-                self._deliver(name, self._offer_list, name, seen)
+                self._deliver(name, self._offer_list, name, listing)
 
     def _offer_list(
-        self, name: str, seen: list[roster.ListedInstance]
+        self, name: str, listing: list[roster.ListedInstance]
     ) -> None:
         node = self.processes[name].node
-        self._perform(name, node.live_list(seen, self.now))
+        self._perform(name, node.live_list(listing, self.now))
 
     def _new_member(
         self, name: str, role: str, centre: str, host: str
     ) -> messages.Member:
-        self._starts += 1
-        incarnation = int((WALL_START_S + self.now) * 1000) + self._starts
+        self._start_count += 1
+        incarnation = int((WALL_START_S + self.now) * 1000) + self._start_count
         return roster.new_member(
             name,
             role=role,
@@ -232,7 +232,7 @@
             randomness=random.Random(self.random.randrange(1 << 30)),
             now=self.now,
         )
-        self._begin(own, node)
+        self._add_process(own, node)
 
     def start_balancer(self, name: str) -> None:
         """Start a balancer."""
@@ -249,11 +249,11 @@
             randomness=random.Random(self.random.randrange(1 << 30)),
             now=self.now,
         )
-        self._begin(own, node)
+        self._add_process(own, node)
         if self.now == 0.0:
             self._fabric.append(name)
 
-    def _begin(
+    def _add_process(
         self,
         own: messages.Member,
         node: agent.Agent | balancer.Balancer,
@@ -263,13 +263,13 @@
         self.listed[own.name] = roster.ListedInstance(
             own.name, own.role, own.data_centre, own.host, own.port, 0
         )
-        self.schedule(PLATFORM_S, self._watch, own.name)
+        self.schedule(PLATFORM_S, self._on_platform_change, own.name)
         self.schedule(
             self.random.random() * TICK_S, self._tick, own.name, node
         )
         if self.platform_up:
-            seen = list(self.listed.values())
-            self.schedule(PLATFORM_S, self._offer_list, own.name, seen)
+            listing = list(self.listed.values())
+            self.schedule(PLATFORM_S, self._offer_list, own.name, listing)
 
     def _tick(self, name: str, node: typing.Any) -> None:
         process = self.processes[name]
@@ -295,7 +295,7 @@
         self.kill(name)
         for (instance, _), server in self.servers.items():
             if instance == name:
-                server.die()
+                server.crash()
 
     def pause(self, name: str, seconds: float) -> None:
         """Freeze a process; what arrives waits in its socket."""
@@ -324,10 +324,12 @@
 
     def part(self, names: typing.Iterable[str]) -> None:
         """Cut some processes off from all others; callers reach both."""
-        self.parted = dict.fromkeys(names, 1)
+        self.partition_of = dict.fromkeys(names, 1)
 
     def _reaches(self, sender: str, receiver: str) -> bool:
-        return self.parted.get(sender, 0) == self.parted.get(receiver, 0)
+        return self.partition_of.get(sender, 0) == self.partition_of.get(
+            receiver, 0
+        )
 
     def _deliver(
         self, name: str, action: typing.Callable, *arguments: typing.Any
@@ -352,7 +354,7 @@
                 case messages.ToAgent():
                     self._send_packet(name, action)
                 case messages.ToCaller():
-                    self._hop(
+                    self._transmit(
                         self.shape.client_s + self.shape.hop_s,
                         self._to_caller,
                         action.flow,
@@ -365,7 +367,7 @@
                 case messages.FetchDocuments():
                     self._fetch(name, action)
 
-    def _hop(
+    def _transmit(
         self, delay: float, action: typing.Callable, *arguments: typing.Any
     ) -> None:
         if self.loss and self.random.random() < self.loss:
@@ -384,8 +386,8 @@
         receiver = self._addresses.get((action.host, action.port))
         if receiver is None or not self._reaches(name, receiver):
             return
-        self.consents.note(name, receiver, message, self.now)
-        self._hop(
+        self.consents.record_message(name, receiver, message, self.now)
+        self._transmit(
             self.shape.hop_s,
             self._deliver,
             receiver,
@@ -402,7 +404,7 @@
         receiver = self._addresses.get((action.host, action.port))
         if receiver is None or not self._reaches(name, receiver):
             return
-        self._hop(
+        self._transmit(
             self.shape.hop_s,
             self._deliver,
             receiver,
@@ -426,7 +428,7 @@
         held = self.processes[name].node.config.held()
         documents = peer.node.config.documents_missing_from(held)
         window = int(self.now / CONTROL_WINDOW_S)
-        peer.control[window] += _answer_bytes(documents)
+        peer.control[window] += _documents_bytes(documents)
         self.schedule(
             3 * self.shape.hop_s,
             self._deliver,
@@ -441,7 +443,7 @@
         if not self._fabric:
             return
         name = self.random.choice(self._fabric)
-        self._hop(
+        self._transmit(
             self.shape.client_s,
             self._deliver,
             name,
@@ -490,9 +492,9 @@
 
     def server_refused(self, instance: str, service: str) -> None:
         """Tell the agent that no server is there."""
-        self._deliver(instance, self._on_lost, instance, service)
+        self._deliver(instance, self._on_server_lost, instance, service)
 
-    def _on_lost(self, instance: str, service: str) -> None:
+    def _on_server_lost(self, instance: str, service: str) -> None:
         node = self.processes[instance].node
         self._perform(instance, node.server_lost(service, self.now))
 
@@ -528,7 +530,7 @@
         return found
 
 
-def _answer_bytes(documents: list[configuration.Document]) -> int:
+def _documents_bytes(documents: list[configuration.Document]) -> int:
     """Return the size of documents as processes send them to each other."""
     content = b''.join(item.content for item in documents)
     return len(gzip.compress(content, 1, mtime=0)) + 60 * len(documents)
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -221,7 +221,7 @@
     callers = feeds_on(small, 60)
     held = [c for c in callers if small.holders(c) == ['dispatch-1']]
     assert held
-    small.servers['dispatch-1', 'dispatch'].die()
+    small.servers['dispatch-1', 'dispatch'].crash()
     small.server_refused('dispatch-1', 'dispatch')
     small.run_until(small.now + 12.0)
     assert not any(caller.feed_broken() for caller in callers)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -73,7 +73,7 @@
         i for i in small.register['instances'] if i['name'] == holder
     )
     identity = caller.ask('POST', 'orders')
-    state = caller._open[caller._count.to_bytes(4, 'big')]
+    state = caller._pending[caller._count.to_bytes(4, 'big')]
     node = small.processes[holder].node
     state['echo'] = _challenge_of(node, caller)
     caller._transmit_new(state, None)
@@ -169,7 +169,7 @@
     for caller in callers:
         caller.ask('POST', 'orders')
     small.run_until(small.now + 0.3)
-    small.servers['dispatch-1', 'dispatch'].die()
+    small.servers['dispatch-1', 'dispatch'].crash()
     small.server_refused('dispatch-1', 'dispatch')
     small.run_until(small.now + 60.0)
     assert promises.outcomes(small)['outcome unknown'] >= 1
@@ -261,7 +261,7 @@
     }
     for token in (b'one', b'two'):
         again = {**state, 'token': token}
-        caller._open[token] = again
+        caller._pending[token] = again
         caller._transmit_new(again, None)
         small.run_until(small.now + 1.0)
     outcomes = [
--- a/tests/test_consents.py
+++ b/tests/test_consents.py
@@ -17,9 +17,9 @@
     handed_on = messages.Execute(
         'dispatch-1', 3, 9, 77, 78, 2.0, False, 0, BODY, b''
     )
-    log.note('dispatch-1', 'dispatch-2', handed_on, at - 0.01)
+    log.record_message('dispatch-1', 'dispatch-2', handed_on, at - 0.01)
     consent = messages.Consent('dispatch-1', 3, 9, 77, granted)
-    log.note('dispatch-1', 'dispatch-2', consent, at)
+    log.record_message('dispatch-1', 'dispatch-2', consent, at)
     return log
 
 
@@ -33,19 +33,19 @@
     can't know whether it arrived.
     """
     log = _given(10.0)
-    assert log.on_the_way('dispatch-2', 10.001, hop_s=HOP_S) == {'o-7'}
-    assert not log.on_the_way('dispatch-3', 10.001, hop_s=HOP_S)
+    assert log.in_flight('dispatch-2', 10.001, hop_s=HOP_S) == {'o-7'}
+    assert not log.in_flight('dispatch-3', 10.001, hop_s=HOP_S)
 
 
 def test_a_consent_that_has_arrived_excuses_nothing() -> None:
     """Whoever has leave starts at once, which shows as a run."""
     log = _given(10.0)
-    assert not log.on_the_way('dispatch-2', 10.002, hop_s=HOP_S)
+    assert not log.in_flight('dispatch-2', 10.002, hop_s=HOP_S)
 
 
 def test_a_consent_that_is_not_given_yet_excuses_nothing() -> None:
     """An order is its sender's until it has consented."""
     log = _given(10.0)
-    assert not log.on_the_way('dispatch-2', 9.999, hop_s=HOP_S)
+    assert not log.in_flight('dispatch-2', 9.999, hop_s=HOP_S)
     refused = _given(10.0, granted=False)
-    assert not refused.on_the_way('dispatch-2', 10.001, hop_s=HOP_S)
+    assert not refused.in_flight('dispatch-2', 10.001, hop_s=HOP_S)
