--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,3 +1,3 @@
-"""Measure the decisions in virtual time, and the programs' own speed."""
+"""Simulate the decisions in virtual time and time the real programs."""
 
 from __future__ import annotations
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run scenarios under policies; write build/bench.json; check bounds."""
+"""Run scenarios under policies, write build/bench.json, check bounds."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from bench import shapes
 
 OURS = 'teaseldock'
-#: Seeds of a whole run, and of the short part that CI runs.
+#: Number of seeds of a full run, and of the short run in CI.
 SEEDS = 20
 SHORT_SEEDS = 2
 SHORT_SCENARIOS = ('steady-80', 'drain', 'crash', 'double')
-#: Measures that a run reports as the largest over seeds, and as a sum.
+#: Measures that are summarised by their maximum, sum or mean over the seeds.
 WORST = ('control_bytes_per_s_max', 'config_in_force_s_max')
 SUMMED = (
     'broken_flows_weighted',
@@ -41,7 +41,7 @@
 
 
 class Task(typing.NamedTuple):
-    """One run of one seed."""
+    """Parameters of one simulation run."""
 
     deployment: str
     scenario: str
@@ -50,7 +50,7 @@
 
 
 def run_task(task: Task) -> dict[str, typing.Any]:
-    """Run one seed and return its measures."""
+    """Run one simulation and return its measures."""
     scenario = scenarios.SCENARIOS[task.scenario]
     shape = shapes.SHAPES[task.deployment]
     if task.policy == OURS:
@@ -61,7 +61,7 @@
 def summarise(
     key: tuple[str, str, str], results: list[dict[str, typing.Any]]
 ) -> dict[str, typing.Any]:
-    """Join the seeds of one deployment, scenario and policy."""
+    """Summarise all seeds of one deployment, scenario and policy."""
     deployment, scenario, policy = key
     ratios = [ratio for result in results for ratio in result['ratios']]
     spread = [result['imbalance_p99'] for result in results]
@@ -91,7 +91,11 @@
 def select_from_environment(
     name: str, known: typing.Iterable[str]
 ) -> list[str]:
-    """Return the part of a list that an environment variable names."""
+    """Return the names that an environment variable selects; default: all.
+
+    :param name: variable that holds names, separated by commas.
+    :raises SystemExit: if a name is unknown.
+    """
     text = os.environ.get(name, '')
     wanted = [item for item in text.split(',') if item]
     unknown = set(wanted) - set(known)
@@ -101,7 +105,7 @@
 
 
 def main() -> int:
-    """Run what flags and environment choose."""
+    """Run the scenarios that flags and environment variables select."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--short', action='store_true')
     parser.add_argument('--check', action='store_true')
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,8 +1,8 @@
-"""Run the same scenarios with simple policies, to compare with.
+"""Run the same scenarios with simple policies for comparison.
 
-A balancer of a baseline chooses a target for each request by its own
-knowledge; servers queue. Nothing binds a flow or a request to one place but
-the policy itself. ``bound`` knows each target's queue perfectly and at once.
+Each balancer chooses a target for each request by its own state; servers
+queue. Only the policy itself can bind a flow or a request to one target.
+``bound`` reads the current load of every target without delay.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 from bench import shapes
 from teaseldock import table
 
-#: Seconds between two reports of load, which is how old they get.
+#: Seconds between two load reports, which is their greatest age.
 REPORT_S = 0.5
-#: Seconds until a crash is known to the balancers.
+#: Seconds until the balancers detect a crash.
 DETECTION_S = 3.0
-#: Seconds until rules are in force at all balancers, each at its own time.
+#: Seconds within which rules come into force at the balancers, each at a
+#: random time.
 SPREAD_S = 1.0
-#: Seconds between two packets of a feed's caller.
+#: Seconds between two packets that the caller of a feed sends.
 FEED_PACKET_S = 2.0
 BALANCERS = 3
 
@@ -34,7 +35,7 @@
     """Choose a target for a request."""
 
     def __init__(self, names: list[str], seed: int) -> None:
-        """Start with what all balancers share."""
+        """Create the state that all balancers share."""
         self._names = names
         self._random = random.Random(seed)
 
@@ -42,66 +43,66 @@
     def choose(
         self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
-        """Return one of the able targets."""
+        """Return one of the eligible targets."""
 
 
 class TableHash(Policy):
-    """The flow's place in a rendezvous table."""
+    """Rendezvous hashing of the flow."""
 
     def choose(
         self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
-        """Return the first able target in rank."""
+        """Return the highest-ranked eligible target."""
         ranked = run.table.rank(hash((flow, 77)) % 256)
         return next(name for name in ranked if name in eligible)
 
 
 class RoundRobin(Policy):
-    """Each balancer's own turn."""
+    """Round robin, separately at each balancer."""
 
     def __init__(self, names: list[str], seed: int) -> None:
-        """Start each balancer somewhere else."""
+        """Start each balancer at a random position."""
         super().__init__(names, seed)
         self._next = [self._random.randrange(99) for _ in range(BALANCERS)]
 
     def choose(
         self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
-        """Return the next in turn."""
+        """Return the next eligible target in turn."""
         self._next[balancer] += 1
         return eligible[self._next[balancer] % len(eligible)]
 
 
 class LeastConnections(Policy):
-    """The least loaded by reports that lag."""
+    """The least loaded target by delayed reports."""
 
     def choose(
         self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
-        """Return the least by the last report, at random among equals."""
+        """Return the least loaded by the last report; break ties randomly."""
         return min(
             eligible, key=lambda n: (run.reported[n], self._random.random())
         )
 
 
 class TwoChoices(Policy):
-    """The less loaded of two at random, by reports that lag."""
+    """The less loaded of two random targets by delayed reports."""
 
     def choose(
         self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
-        """Return the less loaded of two."""
+        """Return the less loaded of two random targets."""
         picked = self._random.sample(eligible, min(2, len(eligible)))
         return min(picked, key=lambda n: run.reported[n])
 
 
 class Bound(Policy):
-    """The least loaded, known perfectly and at once; not deployable."""
+    """The least loaded target by its current load; not deployable."""
 
     def choose(
         self, balancer: int, flow: int, eligible: list[str], run: BaselineRun
     ) -> str:
-        """Return the least loaded, at random among equals."""
+        """Return the least loaded target; break ties randomly."""
         return min(
             eligible, key=lambda n: (run.busy(n), self._random.random())
         )
@@ -124,7 +125,11 @@
 
 
 class BaselineRun:
-    """One scenario under one policy."""
+    """One scenario under one policy.
+
+    :ivar reported: load that each target reported last.
+    :ivar excluded: targets that each balancer does not use.
+    """
 
     def __init__(
         self,
@@ -133,7 +138,7 @@
         seed: int,
         policy: str,
     ) -> None:
-        """Prepare servers and balancers."""
+        """Create servers and balancers."""
         self.scenario = scenario
         self.shape = shape
         self.policy_name = policy
@@ -169,19 +174,19 @@
         self._arrived = 0
 
     def schedule(self, delay: float, action: typing.Callable, *args) -> None:
-        """Call something later."""
+        """Schedule a call after a delay, in seconds."""
         self._count += 1
         heapq.heappush(
             self._events, (self.now + delay, self._count, action, args)
         )
 
     def busy(self, name: str) -> int:
-        """Return what runs and waits at a target now."""
+        """Return the number of requests that run or wait at a target."""
         server = self.servers[name]
         return server.running + len(server.queue)
 
     def run(self) -> dict[str, typing.Any]:
-        """Let it happen and return the measures."""
+        """Run the scenario and return its measures."""
         self.schedule(0.0, self._report)
         self.schedule(scenarios.WARM_S - 1.0, self._arrive)
         for feed in range(scenarios.FEEDS):
@@ -243,7 +248,7 @@
         self._start_waiting(name)
 
     def _repeat(self, request: tuple, tries: int) -> None:
-        """Let the caller repeat its message, as no answer came."""
+        """Schedule the next retransmission, or give the request up."""
         if tries >= fakes.CALLER_REPEATS:
             self._finish(request, 'lost')
             return
@@ -288,7 +293,10 @@
         )
 
     def _feed_packet(self, feed: int) -> None:
-        """Send a feed's caller's packet; it must find its target."""
+        """Route a packet of a feed.
+
+        The feed breaks if the target changes or is down.
+        """
         balancer = self.random.randrange(BALANCERS)
         eligible = self._eligible(balancer)
         target = self.policy.choose(balancer, 10_000 + feed, eligible, self)
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -1,4 +1,4 @@
-"""Hold committed bounds on the figures that a seed determines."""
+"""Check the deterministic figures of the bench against bounds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from bench import scenarios
 
 OURS = 'teaseldock'
-#: Nothing of these may ever happen.
+#: Counts that must be zero in every scenario.
 ZERO = ('ran_twice', 'misrouted', 'untrue_refusals')
-#: Bytes a second for control at each process, from the letter.
+#: Largest control traffic that a process is allowed, bytes per second.
 CONTROL_BYTES_PER_S = 10_000
-#: Seconds until an accepted configuration is in force everywhere.
+#: Seconds within which an accepted configuration is in force everywhere.
 IN_FORCE_S = 4.0
-#: Largest p99 of imbalance, a tenth or more above what 20 seeds gave.
+#: Largest p99 of the imbalance, at least a tenth above the result of 20 seeds.
 IMBALANCE_P99: dict[str, float] = {
     'prairie/steady-50': 1.27,
     'prairie/steady-80': 1.40,
@@ -25,11 +25,10 @@
     'zilina/steady-95': 1.36,
     'zilina/drain': 1.20,
 }
-#: Least goodput at twice the capacity.
+#: Smallest goodput at an offered load of twice the capacity.
 GOODPUT_DOUBLE = 0.95
-#: Broken flows, weighted, that no dead holder or runner excuses, must be 0.
-#: Where KNOWN-RED.txt says that they aren't, they still may not exceed this
-#: for each seed.
+#: Largest weight per seed of broken flows that no dead holder or runner
+#: excuses, for scenarios that KNOWN-RED.txt lists. The bound itself is 0.
 CEILINGS = {
     'crash': 15.0,
     'cold-start': 15.0,
@@ -40,9 +39,9 @@
 
 
 class Violation(typing.NamedTuple):
-    """A bound that does not hold.
+    """A bound that a run violates.
 
-    :ivar check: name by which KNOWN-RED.txt may list it.
+    :ivar check: name of the check, as KNOWN-RED.txt lists it.
     """
 
     check: str
@@ -50,7 +49,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of checks that KNOWN-RED.txt lists, one a line."""
+    """Return the checks and tests that KNOWN-RED.txt lists, one a line."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -58,7 +57,7 @@
 
 
 def check(runs: list[dict[str, typing.Any]]) -> list[Violation]:
-    """Return each bound that a run of ours breaks."""
+    """Return the bounds that runs with the policy of the system violate."""
     violations = []
     for run in runs:
         if run['policy'] == OURS:
@@ -80,7 +79,9 @@
         yield Violation(f'bench/control-{run["scenario"]}', text)
     in_force = run['config_in_force_s_max']
     if in_force > IN_FORCE_S:
-        yield Violation('in-force', f'in force after {in_force} s')
+        yield Violation(
+            'in-force', f'configuration in force after {in_force} s'
+        )
     if scenarios.SCENARIOS[run['scenario']].planned:
         for name in ('broken_flows_weighted', 'unfinished'):
             if run[name]:
@@ -101,9 +102,9 @@
     if not unexcused:
         return
     cause = 'partition' if run['scenario'] == 'partition' else 'crash'
-    text = f'broken unexcused {unexcused}, bound 0'
+    text = f'unexcused broken flows {unexcused}, bound 0'
     yield Violation(f'bench/unexcused-after-{cause}', text)
     ceiling = CEILINGS[run['scenario']] * run['seed_count']
     if unexcused > ceiling:
-        text = f'broken unexcused {unexcused}, ceiling {ceiling}'
+        text = f'unexcused broken flows {unexcused}, ceiling {ceiling}'
         yield Violation('unexcused-ceiling', text)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,8 @@
-"""Measure slopes of each role; write build/capacity.json.
+"""Measure how the cost of each role grows; write build/capacity.json.
 
-Each point runs in a process of its own, so that memory of one doesn't show in
-another. Times depend on the machine; sizes, messages and bytes do not.
+Each point runs in a separate process, so that the memory of one point is not
+counted in another. Times depend on the machine; sizes, messages and bytes do
+not.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 SERVICE_SIZES = (2, 4, 8, 16)
 RATES = (1, 4, 16, 64)
 PROCESSES = (50, 150, 450, 1150)
-#: Targets of the service whose rate of new flows grows.
+#: Number of targets of the service whose rate of new flows grows.
 RATE_TARGETS = 3
 OUTPUT = pathlib.Path('build') / 'capacity.json'
 
 
 def fit(found: list[dict[str, float]], x: str, y: str) -> dict[str, float]:
-    """Return slope, intercept and the largest relative error of a line."""
-    # Imported here: its memory must not show in the points.
+    """Fit a line; return slope, intercept and largest relative error."""
+    # Imported here, as its memory would count in the measured points.
     import numpy
 
     xs = numpy.array([point[x] for point in found], dtype=float)
@@ -105,7 +106,7 @@
 
 
 def main() -> int:
-    """Measure one point, or all of them."""
+    """Measure the point that the arguments name, or all points."""
     if len(sys.argv) == 3:
         print(json.dumps(_measure_point(sys.argv[1], float(sys.argv[2]))))
         return 0
--- a/bench/consents.py
+++ b/bench/consents.py
@@ -1,9 +1,9 @@
-"""Know which requests had been given leave to run when their runner died.
+"""Find requests whose consent was in flight when the runner died.
 
-An order that was handed on starts only with its sender's consent. One that is
-on its way when the runner dies can't be taken back, and nobody is left who
-could tell whether it arrived: "outcome unknown" is the true answer then. One
-that had arrived shows as a run at the server.
+A request that was handed on starts only with its sender's consent. A consent
+that is in flight when the runner dies can't be revoked, and no process can
+report whether it arrived: "outcome unknown" is then the correct answer. If it
+had arrived, the server has logged the start of the request.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from teaseldock import messages
 
-#: Where the identity stands in a request that was handed on.
+#: Index of the identity in the body of a request (:mod:`bench.fake_codec`).
 _IDENTITY = 8
 
 
 class SentConsent(typing.NamedTuple):
-    """A consent as it was sent."""
+    """A consent, with the time at which it was sent."""
 
     at: float
     runner: str
@@ -27,19 +27,19 @@
 
 
 class ConsentLog:
-    """What processes told each other of requests that were handed on."""
+    """Log of the consents to requests that were handed on."""
 
     def __init__(self) -> None:
-        """Start with nothing handed on."""
+        """Create an empty log."""
         self._handed_on: dict[tuple[str, int, int, int], str] = {}
         self._sent_consents: list[SentConsent] = []
 
     def record_message(
         self, sender: str, receiver: str, message: typing.Any, now: float
     ) -> None:
-        """Take a message that is sent.
+        """Record a message between two processes when it is sent.
 
-        :param sender: instance.
+        :param sender: name of the instance that sends it.
         """
         if isinstance(message, messages.Execute):
             fields = msgspec.msgpack.decode(message.body)
@@ -61,9 +61,10 @@
             self._sent_consents.append(SentConsent(now, receiver, identity))
 
     def in_flight(self, runner: str, now: float, *, hop_s: float) -> set[str]:
-        """Return the requests whose consent was under way to an instance.
+        """Return the requests whose consent was in flight to an instance.
 
-        :param hop_s: how long a message takes.
+        :param now: time of the crash.
+        :param hop_s: one-way delay of a message, seconds.
         """
         return {
             item.identity
--- a/bench/fake_codec.py
+++ b/bench/fake_codec.py
@@ -1,4 +1,4 @@
-"""Carry the facts of CoAP in fewer bytes and less time, for virtual time."""
+"""Encode the same information as CoAP in fewer bytes and less CPU time."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 REPLY = 2
 
 
-#: Segment of requests that are parts of one transfer.
+#: Path segment of requests that are parts of one transfer.
 PARTS = 'parts'
 
 
 class Answer(typing.NamedTuple):
-    """What a caller receives.
+    """A datagram that a caller receives.
 
     :ivar kind: ``answer``, ``note``, ``challenge``, ``not run`` or
         ``outcome unknown``.
@@ -35,10 +35,10 @@
 
 
 class FakeCodec(base.Codec):
-    """Carry the same facts as CoAP, at a fraction of the time."""
+    """Encode requests and answers in place of CoAP."""
 
     def read_caller(self, payload: bytes) -> base.Request | base.AckOrReset:
-        """Read a request or a control datagram."""
+        """Decode a request or a control datagram of a caller."""
         try:
             kind, *fields = msgspec.msgpack.decode(payload)
             if kind == CONTROL:
@@ -62,24 +62,24 @@
         )
 
     def for_server(self, body: bytes, *, call: int, flow: bytes) -> bytes:
-        """Return the request with its call."""
+        """Encode a request and its call for the server."""
         return msgspec.msgpack.encode([call, body])
 
     def cancel_feed(self, body: bytes, *, call: int) -> bytes:
-        """Return the registration with Observe 1."""
+        """Return the registration with Observe 1, which cancels the feed."""
         fields = msgspec.msgpack.decode(body)
         fields[6] = 1
         return msgspec.msgpack.encode(fields)
 
     def read_server(self, payload: bytes) -> base.ServerReply:
-        """Read a reply."""
+        """Decode a reply of the server."""
         _, call, observe, shed, _ = msgspec.msgpack.decode(payload)
         return base.ServerReply(call, observe, shed, b'', payload)
 
     def answer(
         self, request: base.Request, body: bytes, *, sequence: int | None
     ) -> bytes:
-        """Return a server's answer for the caller."""
+        """Encode a server's answer for the caller."""
         identity = msgspec.msgpack.decode(body)[4]
         return self._to_caller(request, 'answer', b'', sequence or 0, identity)
 
@@ -91,12 +91,12 @@
         sequence: int,
         message_id: int,
     ) -> bytes:
-        """Return a notification for the caller."""
+        """Encode a notification for the caller."""
         identity = msgspec.msgpack.decode(body)[4]
         return self._to_caller(request, 'note', b'', sequence, identity)
 
     def challenge(self, request: base.Request, value: bytes) -> bytes:
-        """Return a challenge for the caller."""
+        """Encode a challenge for the caller."""
         return self._to_caller(request, 'challenge', value, 0, '')
 
     def refusal(
@@ -106,7 +106,7 @@
         *,
         retry_after_s: int,
     ) -> bytes:
-        """Return a refusal for the caller."""
+        """Encode a refusal for the caller."""
         return self._to_caller(
             request, reason.value, b'', 0, '', retry_after_s
         )
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,4 +1,4 @@
-"""Fake backend servers and callers for runs in virtual time."""
+"""Simulate backend servers and callers in virtual time."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 if typing.TYPE_CHECKING:
     from bench import world
 
-#: Requests beyond its slots that a server holds before it sheds.
+#: Requests that a server queues before it sheds load.
 SERVER_BACKLOG = 4
 #: Seconds between two notifications of a feed.
 FEED_S = 1.0
-#: Seconds until a caller repeats a message, doubled each time (RFC 7252).
+#: Seconds until a caller retransmits a message; doubles each time (RFC 7252).
 CALLER_REPEAT_S = 2.0
 CALLER_REPEATS = 4
-#: Seconds without a notification after which a feed counts as broken.
+#: Seconds without a notification after which a feed is broken.
 FEED_GAP_S = 6.0
 
 
 class RequestRun(typing.NamedTuple):
-    """One line of a server's log."""
+    """The start of a request at a server."""
 
     at: float
     instance: str
@@ -35,7 +35,11 @@
 
 
 class FakeServer:
-    """Run requests in slots; shed beyond a backlog; serve feeds."""
+    """Run requests in slots, shed load beyond a backlog, serve feeds.
+
+    :ivar epoch: number of crashes so far.
+    :ivar cold_until: time until which requests take twice as long.
+    """
 
     def __init__(
         self,
@@ -47,7 +51,7 @@
         service_s: float,
         seed: int,
     ) -> None:
-        """Start idle."""
+        """Start without requests and feeds."""
         self._world = simulation
         self._instance = instance
         self._service = service
@@ -63,7 +67,7 @@
         simulation.schedule(self._random.random() * FEED_S, self._notify)
 
     def crash(self) -> None:
-        """Lose everything that runs, waits or is observed."""
+        """Stop; drop all running and queued requests and all feeds."""
         self.up = False
         self.epoch += 1
         self._running = 0
@@ -71,7 +75,7 @@
         self._feeds.clear()
 
     def receive(self, call: int, body: bytes) -> None:
-        """Take a request from the agent."""
+        """Handle a request from the agent."""
         if not self.up:
             self._world.server_refused(self._instance, self._service)
             return
@@ -133,7 +137,12 @@
 
 
 class RequestOutcome(typing.NamedTuple):
-    """One line of a caller's record."""
+    """The final outcome of a request at its caller.
+
+    :ivar at: time at which the caller sent the request.
+    :ivar kind: path segment of the request.
+    :ivar seconds: time until the outcome.
+    """
 
     at: float
     identity: str
@@ -143,12 +152,12 @@
 
 
 class FakeCaller:
-    """One flow of a caller: requests one after another, or one feed."""
+    """A caller with one flow, which sends requests or observes a feed."""
 
     def __init__(
         self, simulation: world.World, number: int, service: str, flow: bytes
     ) -> None:
-        """Start silent."""
+        """Create a caller that has sent nothing yet."""
         self._world = simulation
         self._service = service
         self.flow = flow
@@ -161,13 +170,16 @@
 
     @property
     def unfinished(self) -> int:
-        """Return how many requests have no final answer."""
+        """Return the number of requests without a final outcome."""
         return len(self._pending)
 
     def ask(
         self, method: str, segment: str, *, deadline_s: float | None = None
     ) -> str:
-        """Send one request; its outcome goes to the world's record."""
+        """Send a request and return its identity.
+
+        Its final outcome is appended to ``World.asked``.
+        """
         self._count += 1
         identity = f'{self._service}-{self.number}-{self._count}'
         token = self._count.to_bytes(4, 'big')
@@ -185,7 +197,7 @@
         return identity
 
     def observe(self) -> None:
-        """Begin a feed."""
+        """Register for a feed."""
         identity = f'{self._service}-{self.number}-feed'
         self.feed = {
             'identity': identity,
@@ -258,7 +270,7 @@
         )
 
     def receive(self, payload: bytes) -> None:
-        """Take a datagram from the fabric."""
+        """Handle a datagram from the fabric."""
         answer = fake_codec.Answer(*msgspec.msgpack.decode(payload))
         if answer.kind == 'note':
             self._on_notification(answer)
@@ -292,7 +304,7 @@
         feed['last'] = self._world.now
 
     def feed_broken(self) -> bool:
-        """Tell whether the feed went silent for too long or never began."""
+        """Return whether the feed never started or had too long a gap."""
         feed = self.feed
         if feed is None:
             return False
--- a/bench/imbalance.py
+++ b/bench/imbalance.py
@@ -1,4 +1,4 @@
-"""Measure how evenly targets that can take work are loaded."""
+"""Measure how evenly load is spread over the eligible targets."""
 
 from __future__ import annotations
 
@@ -11,19 +11,23 @@
 
 
 class DisabledIntervals:
-    """When each target of the first service could not take new work."""
+    """Intervals in which targets of the first service get no new work."""
 
     def __init__(self) -> None:
-        """Start with all able."""
+        """Create an empty set of intervals."""
         self._since: dict[str, float] = {}
         self._spans: list[tuple[str, float, float]] = []
 
     def begin(self, name: str, at: float) -> None:
-        """Note that a target is out."""
+        """Record that a target stops accepting requests."""
         self._since.setdefault(name, at)
 
     def end(self, name: str, at: float) -> None:
-        """Note that a target is in again; it may take 3 s until it's used."""
+        """Record that a target accepts requests again.
+
+        The interval ends 3 s later, as it may take that long until the
+        target is used.
+        """
         since = self._since.pop(name, None)
         if since is not None:
             self._spans.append((name, since, at + 3.0))
@@ -31,7 +35,7 @@
     def eligible(
         self, names: list[str], start: float, end: float
     ) -> list[str]:
-        """Return the targets that were able throughout a window."""
+        """Return the targets that were eligible throughout a window."""
         excluded = {name for name, since in self._since.items() if since < end}
         for name, since, until in self._spans:
             if since < end and until > start:
@@ -40,7 +44,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value below which a share of all values lies."""
+    """Return the smallest value that a share of all values doesn't exceed."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -54,13 +58,15 @@
     *,
     seconds: range,
 ) -> list[float]:
-    """Return, for each second, the most loaded target over the mean.
+    """Return the ratio of the largest to the mean load for each second.
 
-    Imbalance is defined here, once: load over paid share, for each target, in
-    windows of one second. Load is the weight of the requests that began to
-    run; a target that may take no new work is left out of its windows.
+    This ratio is the only definition of imbalance: the load of each target
+    over its paid share, which is the same for all targets here. The load of a
+    target is the sum of the weights of the requests that started in a window
+    of one second. Targets that may not accept new requests are left out of
+    the window. Seconds without load give no ratio.
 
-    :param seconds: those that are measured.
+    :param seconds: the windows that are measured.
     """
     windows: dict[int, collections.Counter] = collections.defaultdict(
         collections.Counter
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,9 @@
-"""Measure the programs' own paths against a bare loop in the same run.
+"""Compare the data path of the programs with a bare forwarding loop.
 
-Datagrams are put into a socket in batches; only the time in which the program
-takes them out, decides and sends is counted. The bare loop does the same with
-nothing between receiving and sending.
+Both are timed alternately in the same run. Datagrams are written to a
+socket in batches. Only the time in which the program receives, decides and
+sends is counted. The bare loop receives and sends the same datagrams without
+any processing in between.
 """
 
 from __future__ import annotations
@@ -34,13 +35,13 @@
 PAYLOAD = b'x' * 100
 FLOWS_HELD = 200_000
 TABLE_SIZES = (10, 1_000, 54_000)
-#: Targets of one service in the tables that are timed.
+#: Targets of each service in the tables that are timed.
 TARGETS_PER_SERVICE = 2
 _KEY = '00' * 16
 
 
 def _sink() -> socket.socket:
-    """Return a socket that takes datagrams and never reads them."""
+    """Return a socket that accepts datagrams and never reads them."""
     sink = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sink.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     sink.bind(('127.0.0.1', 0))
@@ -69,7 +70,7 @@
 
 
 def _documents(sink: socket.socket) -> list[typing.Any]:
-    """Return register and rules whose agents are all the sink."""
+    """Return register and rules in which every agent has the sink's port."""
     simulation = world.World(shapes.PRAIRIE, seed=1)
     port = sink.getsockname()[1]
     for number, instance in enumerate(simulation.register['instances']):
@@ -80,7 +81,7 @@
 
 
 class _SocketPair:
-    """A socket that is read, and one that fills it."""
+    """A socket that is read, and a connected one that writes to it."""
 
     def __init__(self) -> None:
         self.inner = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -91,7 +92,7 @@
         self.outer.connect(self.inner.getsockname())
 
     def fill(self, datagrams: list[bytes]) -> None:
-        """Put a batch into the socket that is read."""
+        """Send a batch to the socket that is read."""
         for datagram in datagrams:
             self.outer.send(datagram)
 
@@ -134,7 +135,7 @@
 
 
 def _balancer_ratio() -> float:
-    """Return the balancer's packets a second over the bare loop's."""
+    """Return the packet rate of the balancer over that of the bare loop."""
     sink = _sink()
     destination = sink.getsockname()
     program = balancer_application.BalancerProgram(_values(name='balancer-1'))
@@ -152,7 +153,7 @@
 
 
 class _NullLink:
-    """Take what goes to the server."""
+    """Send requests for the server to the sink."""
 
     endpoint = None
 
@@ -164,7 +165,7 @@
         self.calls: list[int] = []
 
     def send(self, datagram: bytes, *, call: int) -> None:
-        """Send it to the sink and note the call."""
+        """Send a datagram to the sink and record its call."""
         self._sender.sendto(datagram, self._destination)
         self.calls.append(call)
 
@@ -173,10 +174,11 @@
 
 
 def _agent_ratio() -> float:
-    """Return the agent's requests a second over a bare loop's.
+    """Return the request rate of the agent over that of a bare loop.
 
-    A request is a packet in, a datagram to the server, its answer in, and a
-    datagram to the caller: the bare loop passes two datagrams on.
+    For each request the agent receives a packet, sends a datagram to the
+    server, receives its answer and sends a datagram to the caller. The bare
+    loop forwards two datagrams.
     """
     sink = _sink()
     destination = sink.getsockname()
@@ -238,7 +240,7 @@
 
 
 def bytes_per_flow() -> float:
-    """Return memory of one held flow, with very many of them."""
+    """Return the mean memory of a held flow among many, in bytes."""
     simulation = world.World(shapes.PRAIRIE, seed=1)
     simulation.run_until(1.0)
     holder = simulation.processes['dispatch-1'].node.find('dispatch').holder
@@ -255,7 +257,7 @@
 
 
 def build_inventory(targets: int) -> inventory.Inventory:
-    """Return a checked inventory of a size, two targets to a service."""
+    """Return a validated inventory, with two targets for each service."""
     services = max(1, targets // TARGETS_PER_SERVICE)
     instances = max(2, targets // 8)
     register = {
@@ -323,7 +325,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Return ratios, sizes, and times as notes."""
+    """Return ratios and sizes, and times for information."""
     figures = asyncio.run(_measure_ratios())
     figures['bytes_per_flow'] = bytes_per_flow()
     figures.update(table_times())
--- a/bench/points.py
+++ b/bench/points.py
@@ -1,4 +1,7 @@
-"""Measure one point of a slope, each in a process of its own."""
+"""Measure single points of the capacity curves.
+
+Each point runs in a separate process.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 from teaseldock_balancer import application as balancer_application
 from teaseldock_edge import traffic
 
-#: The letter's size.
+#: Required size of the system: service addresses, targets and instances.
 ADDRESSES = 22_000
 TARGETS = 54_000
 DAEMONS = 6_900
@@ -43,7 +46,7 @@
 
 
 def resident_mb() -> float:
-    """Return the resident memory of this process now."""
+    """Return the resident memory of this process in MiB."""
     for line in pathlib.Path('/proc/self/status').read_text().splitlines():
         if line.startswith('VmRSS'):
             return int(line.split()[1]) / 1024
@@ -51,7 +54,7 @@
 
 
 def _documents_in_parts(fraction: float) -> list[configuration.Document]:
-    """Return register and rules of a share of the letter's size, in parts."""
+    """Return register and rules in parts, at a fraction of required size."""
     instances = max(50, int(DAEMONS * fraction))
     services = int(ADDRESSES * fraction)
     targets_each = TARGETS / ADDRESSES
@@ -121,7 +124,7 @@
 
 
 async def table_point(fraction: float) -> dict[str, float]:
-    """Hold a share of the whole table in a balancer and change it."""
+    """Load a fraction of the required table in a balancer and change it."""
     base = resident_mb()
     documents = _documents_in_parts(fraction)
     largest = max(len(item.content) for item in documents)
@@ -167,7 +170,10 @@
 
 
 async def agent_table_point(fraction: float) -> dict[str, float]:
-    """Hold a share of the whole table in an agent, which routes little."""
+    """Load a fraction of the required table in an agent.
+
+    An agent routes little.
+    """
     base = resident_mb()
     program = agent_application.AgentProgram(path._values(name='instance-5'))
     program._node.offer(_documents_in_parts(fraction), 0.0, wall_s=0.0)
@@ -181,7 +187,7 @@
 
 
 def requests_point(count: int) -> dict[str, float]:
-    """Hold feeds, and exchanges that may still be repeated."""
+    """Store feeds, and exchanges that callers may still retransmit."""
     message = aiocoap.Message(code=aiocoap.GET, payload=b'x' * 20)
     message.opt.uri_path = ('status', 'truck-17')
     message.mtype = aiocoap.CON
@@ -217,7 +223,7 @@
 
 
 def membership_point(count: int) -> dict[str, float]:
-    """Run one member among many that all answer."""
+    """Run the failure detector of one member; all others answer."""
     own = roster.new_member(
         'own', role='agent', data_centre='d', host='h', port=1, incarnation=9
     )
@@ -285,7 +291,7 @@
 
 
 def flows_point(count: int) -> dict[str, float]:
-    """Let one agent hold many flows and tick."""
+    """Hold many flows in one agent and run its ticks."""
     simulation = world.World(shapes.PRAIRIE, seed=1)
     simulation.run_until(2.0)
     node = simulation.processes['dispatch-1'].node
@@ -312,9 +318,10 @@
 
 
 def new_flows_point(targets: int, rate: float = 4.0) -> dict[str, float]:
-    """Open new flows at a service, and count control and agents' time.
+    """Open new flows; measure control traffic and CPU time of the agents.
 
-    :param rate: new flows a second at each target.
+    :param targets: number of targets of the service.
+    :param rate: new flows per second and target.
     """
     shape = shapes.Shape(
         'x', (('dispatch', targets),), 4, 0.001, 0.001, 'orders', 'dispatch'
@@ -358,7 +365,7 @@
 
 
 def spreading_point(processes: int) -> dict[str, float]:
-    """Publish changes to very many processes of one region."""
+    """Publish changes to many processes of one region."""
     shape = shapes.Shape(
         'x', (('dispatch', 3),), 2, 0.0015, 0.003, 'orders', 'dispatch'
     )
@@ -389,7 +396,7 @@
 
 
 def packet_cost() -> dict[str, float]:
-    """Return microseconds of one packet in each role, as notes."""
+    """Return the microseconds to seal and open a packet, for information."""
     packet = proxy_header.Packet(b'f' * 12, 1, 1, 0, 0, b'x' * 100)
     key = b'k' * 16
     began = time.process_time()
--- a/bench/programs.py
+++ b/bench/programs.py
@@ -1,4 +1,4 @@
-"""Measure the real programs while nothing is asked of them."""
+"""Measure the resource usage of the real programs without traffic."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from standins import deployment
 
-#: Seconds that are measured, after the start has settled.
+#: Seconds for the start to settle, and seconds that are measured.
 SETTLE_S = 5.0
 MEASURED_S = 10.0
 
@@ -27,7 +27,7 @@
 
 
 def idle() -> dict[str, dict[str, float]]:
-    """Return the largest processor share, memory and control by role."""
+    """Return the largest CPU, memory and control-traffic use by role."""
     register, rules = deployment.load_example('zilina')
     dep = deployment.Deployment(
         register,
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Draw build/bench.json and build/capacity.json into build/report."""
+"""Plot build/bench.json and build/capacity.json into build/report."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 BUILD = pathlib.Path('build')
 FOLDER = BUILD / 'report'
-#: The letter's size on each axis of the capacity plots.
+#: Required size of the system on the axes of the capacity plots.
 REQUIRED_SIZES = {'targets': 54_000, 'members': 1_150, 'flows': 27_000}
 _TABLE = (
     'imbalance_p50',
@@ -108,7 +108,7 @@
 
 
 def main() -> int:
-    """Draw what there is."""
+    """Plot the results that exist."""
     bench = _read('bench.json')
     capacity = _read('capacity.json')
     if not bench and not capacity:
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Define what happens in each run, and measure the outcome."""
+"""Define the scenarios, run them and measure the results."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from bench import shapes
 from bench import world
 
-#: Seconds before arrivals count, and seconds that are measured. Servers start
-#: cold; their slots are all open after four seconds.
+#: Seconds of warm-up and seconds that are measured. Servers start cold: all of
+#: their slots are open after four seconds.
 WARM_S = 6.0
 MEASURED_S = 12.0
 MEASURED_SECONDS = range(int(WARM_S), int(WARM_S + MEASURED_S))
-#: Seconds after the last arrival for answers and repeats.
+#: Seconds after the last arrival in which answers and retransmissions finish.
 TAIL_S = 8.0
-#: Flows that requests come on, and feeds beside them.
+#: Number of flows that carry requests, and number of feeds.
 CALLERS = 300
 FEEDS = 30
-#: Share of requests that must not run twice.
+#: Fraction of requests that must not run twice.
 GUARDED_SHARE = 0.5
-#: Load of the second service, share of its capacity.
+#: Offered load of the second service as a fraction of its capacity.
 OTHER_LOAD = 0.3
-#: Weight of a broken order or hours entry; anything else weighs one.
+#: Weight of a broken guarded request (orders, hours); others weigh 1.
 GUARDED_WEIGHT = 2.0
 
 
 class Scenario(typing.NamedTuple):
-    """One kind of run.
+    """Load and events of a simulation.
 
-    :ivar load: offered share of the first service's capacity.
-    :ivar service_s: mean time of one request.
-    :ivar events: time after the warm-up, name of the event, argument.
-    :ivar planned: whether no event kills a holder.
-    :ivar hot: share of arrivals that come on one flow.
+    :ivar load: offered load as a fraction of the first service's capacity.
+    :ivar service_s: mean service time of a request, seconds.
+    :ivar events: seconds after the warm-up, name of the event, argument.
+    :ivar planned: whether the events leave every holder alive and reachable.
+    :ivar hot: fraction of arrivals that come on one flow.
     """
 
     name: str
@@ -101,12 +101,16 @@
 
 
 class Run:
-    """One scenario with the real decisions."""
+    """One scenario with the real agents and balancers.
+
+    :ivar excused: requests that a crash or a partition may break.
+    :ivar excused_flows: flows that a crash or a partition may break.
+    """
 
     def __init__(
         self, scenario: Scenario, shape: shapes.Shape, seed: int
     ) -> None:
-        """Prepare the deployment and its callers."""
+        """Create the simulated deployment."""
         self.scenario = scenario
         self.shape = shape
         self.world = world.World(
@@ -121,7 +125,7 @@
         self.balancers = 3
 
     def run(self) -> dict[str, typing.Any]:
-        """Let it happen and return the measures."""
+        """Run the scenario and return its measures."""
         simulation = self.world
         simulation.run_until(WARM_S - 1.0)
         self.callers = [
@@ -190,10 +194,10 @@
         self.world.leave(self.names[number - 1])
 
     def _excuse(self, name: str) -> None:
-        """Leave out what dies with a holder, or runs at it.
+        """Excuse the flows that an instance holds and the requests it runs.
 
-        So does what may run at it: a consent that is on its way to an
-        instance when that dies can't be taken back.
+        Requests that it may be running are excused as well: a consent that
+        is in flight to an instance when that dies can't be revoked.
         """
         node = self.world.processes[name].node
         for item in node.targets:
@@ -251,7 +255,7 @@
             self.disabled.end(name, self.world.now)
 
     def _on_lie(self, numbers: tuple[int, ...]) -> None:
-        """Do nothing: the decisions read no endpoint that could lie."""
+        """Do nothing: the decisions use no load figures of servers."""
 
     def _measure(self) -> dict[str, typing.Any]:
         simulation = self.world
@@ -329,7 +333,7 @@
         return total, unexcused
 
     def _goodput(self, answered: list[fakes.RequestOutcome]) -> float:
-        """Return answers of the first service over its capacity."""
+        """Return the answer rate of the first service over its capacity."""
         done = sum(
             item.identity.startswith(f'{self.service}-')
             and WARM_S <= item.at + item.seconds < WARM_S + MEASURED_S
@@ -338,7 +342,7 @@
         return done / MEASURED_S / self.capacity
 
     def _guarded_goodput(self, asked: list[fakes.RequestOutcome]) -> float:
-        """Return the share of guarded requests that were answered."""
+        """Return the fraction of guarded requests that were answered."""
         guarded_requests = [i for i in asked if i.kind == self.shape.guarded]
         good = sum(item.outcome == 'answer' for item in guarded_requests)
         return good / len(guarded_requests) if guarded_requests else 1.0
@@ -354,5 +358,5 @@
 
 
 def all_callers(simulation: world.World) -> list[fakes.FakeCaller]:
-    """Return all callers of a run."""
+    """Return all callers of a simulation."""
     return list(simulation.callers.values())
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -1,4 +1,4 @@
-"""Describe the deployments that are run in virtual time."""
+"""Define the deployments that are simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 
 class Shape(typing.NamedTuple):
-    """A deployment: who serves what, and how far apart.
+    """Services, capacity and network delays of a deployment.
 
-    :ivar services: name and number of targets.
-    :ivar hop_s: one way between data centres, seconds.
-    :ivar client_s: one way between callers and the system, seconds.
+    :ivar services: name and number of targets of each service.
+    :ivar slots: requests that a server runs at the same time.
+    :ivar hop_s: one-way delay between processes, seconds.
+    :ivar client_s: one-way delay between callers and the system, seconds.
+    :ivar guarded: path of the requests that must not run twice.
+    :ivar feed_service: service that offers feeds.
     """
 
     name: str
@@ -46,7 +49,7 @@
 def new_instance(
     shape: Shape, name: str, number: int
 ) -> dict[str, typing.Any]:
-    """Return a register entry."""
+    """Return the register entry of an instance."""
     return {
         'name': name,
         'data_centre': f'dc-{number % 3}',
@@ -58,7 +61,7 @@
 
 
 def documents(shape: Shape) -> tuple[dict, dict]:
-    """Return register and rules of a deployment."""
+    """Return the register and the rules of a deployment."""
     instances = []
     services = []
     number = 0
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,7 +1,7 @@
-"""Drive decisions in virtual time: clock, network, platform, processes.
+"""Simulate clock, network, platform and processes in virtual time.
 
-This is a driver for the decisions of this library and nothing more: no
-kernel, no bytes on a wire, no model of hardware.
+The simulation drives the decisions of the library only: it models no kernel,
+no bytes on a wire and no hardware.
 """
 
 from __future__ import annotations
@@ -29,21 +29,27 @@
 
 KEYS = context.Keys((b'k' * 16,), b'h' * 16)
 TICK_S = 0.05
-#: Seconds until a platform change can be read, and between list reads.
+#: Seconds until a change at the platform reaches the processes, and seconds
+#: between two reads of the live list.
 PLATFORM_S = 0.01
 LIST_S = 1.0
-#: Seconds over which control traffic is summed for the busiest rate.
+#: Length of the windows in which control traffic is summed, seconds.
 CONTROL_WINDOW_S = 5.0
-#: Datagrams that a paused process's socket holds.
+#: Number of datagrams that the socket of a paused process holds.
 SOCKET_QUEUE = 2000
 WALL_START_S = 1_000_000.0
 
 
 class Process:
-    """A node of the system in virtual time."""
+    """A simulated agent or balancer.
+
+    :ivar queue: calls that wait in the socket while the process is paused.
+    :ivar control: bytes of control traffic sent, by window.
+    :ivar in_force: time at which each revision came into force.
+    """
 
     def __init__(self, node: agent.Agent | balancer.Balancer) -> None:
-        """Start running."""
+        """Create a running process."""
         self.node = node
         self.alive = True
         self.paused_until = 0.0
@@ -53,7 +59,17 @@
 
 
 class World:
-    """Everything of one run."""
+    """A simulated deployment with its network, platform and callers.
+
+    :ivar ran: requests that servers started.
+    :ivar asked: final outcomes of requests at their callers.
+    :ivar published: time at which each revision was published.
+    :ivar listed: the live list of the platform.
+    :ivar partition_of: number of the partition of each process, 0 if absent.
+    :ivar loss: fraction of datagrams that are lost.
+    :ivar duplicate: fraction of datagrams that are delivered twice.
+    :ivar reads: number of reads from the platform.
+    """
 
     def __init__(
         self,
@@ -63,9 +79,9 @@
         service_s: float = 0.02,
         balancers: int = 3,
     ) -> None:
-        """Start all processes at time zero, with register and rules out.
+        """Publish register and rules and start all processes at time zero.
 
-        :param service_s: mean time a server works on one request.
+        :param service_s: mean service time of a request, seconds.
         """
         self.shape = shape
         self.seed = seed
@@ -111,7 +127,7 @@
     def schedule(
         self, delay: float, action: typing.Callable, *arguments: typing.Any
     ) -> None:
-        """Call something later."""
+        """Schedule a call after a delay, in seconds."""
         self._sequence += 1
         heapq.heappush(
             self._events,
@@ -119,7 +135,7 @@
         )
 
     def run_until(self, end: float) -> None:
-        """Let virtual time pass."""
+        """Run all events up to a virtual time."""
         while self._events and self._events[0][0] <= end:
             at, _, action, arguments = heapq.heappop(self._events)
             self.now = at
@@ -127,7 +143,7 @@
         self.now = end
 
     def publish(self, key: str, content: typing.Any) -> int:
-        """Publish a document as an operator."""
+        """Publish a document as an operator and return its revision."""
         self._revision += 1
         if not isinstance(content, bytes):
             content = json.dumps(content).encode()
@@ -148,7 +164,7 @@
         self._deliver(name, self._offer, name, list(self.documents.values()))
 
     def set_platform(self, up: bool) -> None:
-        """Take the platform down, or bring it back."""
+        """Make the platform available or unavailable."""
         self.platform_up = up
         for name in self.processes:
             self.schedule(PLATFORM_S, self._on_platform_change, name)
@@ -202,7 +218,7 @@
         )
 
     def start_instance(self, instance: dict[str, typing.Any]) -> None:
-        """Start server and agent of an instance."""
+        """Start the servers and the agent of an instance."""
         name = instance['name']
         for service in self.rules['services']:
             targets = {item['instance'] for item in service['targets']}
@@ -218,7 +234,7 @@
         self.start_agent(instance)
 
     def start_agent(self, instance: dict[str, typing.Any]) -> None:
-        """Start, or start again, the agent of an instance."""
+        """Start or restart the agent of an instance."""
         own = self._new_member(
             instance['name'],
             roster.ROLE_AGENT,
@@ -287,18 +303,18 @@
             action(*arguments)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process without a graceful stop."""
         self.processes[name].alive = False
 
     def kill_instance(self, name: str) -> None:
-        """Kill agent and servers of an instance."""
+        """Kill the agent and the servers of an instance."""
         self.kill(name)
         for (instance, _), server in self.servers.items():
             if instance == name:
                 server.crash()
 
     def pause(self, name: str, seconds: float) -> None:
-        """Freeze a process; what arrives waits in its socket."""
+        """Pause a process; datagrams for it wait in its socket."""
         self.processes[name].paused_until = self.now + seconds
 
     def leave(self, name: str) -> None:
@@ -323,7 +339,7 @@
         self.listed[name] = self.listed[name]._replace(leaving_since=at)
 
     def part(self, names: typing.Iterable[str]) -> None:
-        """Cut some processes off from all others; callers reach both."""
+        """Partition some processes from the others; callers reach all."""
         self.partition_of = dict.fromkeys(names, 1)
 
     def _reaches(self, sender: str, receiver: str) -> bool:
@@ -334,7 +350,7 @@
     def _deliver(
         self, name: str, action: typing.Callable, *arguments: typing.Any
     ) -> None:
-        """Hand something to a process, or to its socket while paused."""
+        """Call a handler of a process; queue the call during a pause."""
         process = self.processes.get(name)
         if process is None or not process.alive:
             return
@@ -439,7 +455,7 @@
         )
 
     def from_caller(self, flow_key: bytes, payload: bytes) -> None:
-        """Carry a caller's datagram to any balancer."""
+        """Deliver a caller's datagram to a random balancer."""
         if not self._fabric:
             return
         name = self.random.choice(self._fabric)
@@ -481,7 +497,7 @@
             caller.receive(payload)
 
     def from_server(self, instance: str, service: str, payload: bytes) -> None:
-        """Carry a server's datagram to the agent beside it."""
+        """Deliver a server's datagram to the agent of its instance."""
         self._deliver(instance, self._on_server, instance, service, payload)
 
     def _on_server(self, instance: str, service: str, payload: bytes) -> None:
@@ -491,7 +507,7 @@
         self._perform(instance, actions)
 
     def server_refused(self, instance: str, service: str) -> None:
-        """Tell the agent that no server is there."""
+        """Notify the agent that no server listens."""
         self._deliver(instance, self._on_server_lost, instance, service)
 
     def _on_server_lost(self, instance: str, service: str) -> None:
@@ -499,7 +515,7 @@
         self._perform(instance, node.server_lost(service, self.now))
 
     def add_caller(self, service: str) -> fakes.FakeCaller:
-        """Return a new caller of a service, with a flow of its own."""
+        """Add a caller of a service, which has a flow of its own."""
         number = len(self.callers) + 1
         entry = next(s for s in self.rules['services'] if s['name'] == service)
         endpoint = flow.Endpoint(entry['address'], entry['port'])
@@ -514,12 +530,12 @@
     def answered(
         self, caller: fakes.FakeCaller, outcome: str, retry_after_s: int
     ) -> None:
-        """Tell the scenario of a final answer."""
+        """Pass a final answer to ``on_answer``, if set."""
         if self.on_answer is not None:
             self.on_answer(caller, outcome, retry_after_s)
 
     def holders(self, caller: fakes.FakeCaller) -> list[str]:
-        """Return the living agents that hold a caller's flow."""
+        """Return the names of live agents that hold a caller's flow."""
         found = []
         for name, process in self.processes.items():
             if not process.alive or not isinstance(process.node, agent.Agent):
@@ -531,6 +547,6 @@
 
 
 def _documents_bytes(documents: list[configuration.Document]) -> int:
-    """Return the size of documents as processes send them to each other."""
+    """Return the transfer size of documents between two processes."""
     content = b''.join(item.content for item in documents)
     return len(gzip.compress(content, 1, mtime=0)) + 60 * len(documents)
