--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run scenarios under policies; write build/bench.json; check bounds."""
+"""Run scenarios under policies, write build/bench.json, check bounds."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from bench import shapes
 
 OURS = 'teaseldock'
-#: Seeds of a whole run, and of the short part that CI runs.
+#: Number of seeds of a full run, and of the short run in CI.
 SEEDS = 20
 SHORT_SEEDS = 2
 SHORT_SCENARIOS = ('steady-80', 'drain', 'crash', 'double')
-#: Measures that a run reports as the largest over seeds, and as a sum.
+#: Measures that are summarised by their maximum, sum or mean over the seeds.
 WORST = ('control_bytes_per_s_max', 'config_in_force_s_max')
 SUMMED = (
     'broken_flows_weighted',
@@ -41,7 +41,7 @@
 
 
 class Task(typing.NamedTuple):
-    """One run of one seed."""
+    """Parameters of one simulation run."""
 
     deployment: str
     scenario: str
@@ -50,7 +50,7 @@
 
 
 def run_task(task: Task) -> dict[str, typing.Any]:
-    """Run one seed and return its measures."""
+    """Run one simulation and return its measures."""
     scenario = scenarios.SCENARIOS[task.scenario]
     shape = shapes.SHAPES[task.deployment]
     if task.policy == OURS:
@@ -61,7 +61,7 @@
 def summarise(
     key: tuple[str, str, str], results: list[dict[str, typing.Any]]
 ) -> dict[str, typing.Any]:
-    """Join the seeds of one deployment, scenario and policy."""
+    """Summarise all seeds of one deployment, scenario and policy."""
     deployment, scenario, policy = key
     ratios = [ratio for result in results for ratio in result['ratios']]
     spread = [result['imbalance_p99'] for result in results]
@@ -88,8 +88,14 @@
     return summary
 
 
-def choose(name: str, known: typing.Iterable[str]) -> list[str]:
-    """Return the part of a list that an environment variable names."""
+def select_from_environment(
+    name: str, known: typing.Iterable[str]
+) -> list[str]:
+    """Return the names that an environment variable selects; default: all.
+
+    :param name: variable that holds names, separated by commas.
+    :raises SystemExit: if a name is unknown.
+    """
     text = os.environ.get(name, '')
     wanted = [item for item in text.split(',') if item]
     unknown = set(wanted) - set(known)
@@ -99,7 +105,7 @@
 
 
 def main() -> int:
-    """Run what flags and environment choose."""
+    """Run the scenarios that flags and environment variables select."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--short', action='store_true')
     parser.add_argument('--check', action='store_true')
@@ -113,8 +119,10 @@
     tasks = [
         Task(deployment, scenario, policy, seed)
         for deployment in shapes.SHAPES
-        for scenario in choose('BENCH_SCENARIOS', known)
-        for policy in choose('BENCH_POLICIES', [OURS, *baselines.POLICIES])
+        for scenario in select_from_environment('BENCH_SCENARIOS', known)
+        for policy in select_from_environment(
+            'BENCH_POLICIES', [OURS, *baselines.POLICIES]
+        )
         for seed in range(first, first + count)
     ]
     with multiprocessing.Pool(max(1, (os.cpu_count() or 2) - 1)) as pool:
@@ -144,12 +152,12 @@
     if not options.check:
         return 0
     listed = bounds.known_red()
-    broken = bounds.check(runs)
-    for item in broken:
-        word = 'KNOWN RED' if item.check in listed else 'BOUND'
-        print(f'{word} {item.check}: {item.text}')
-    unlisted = [item for item in broken if item.check not in listed]
-    print(f'{len(broken) - len(unlisted)} known red, {len(unlisted)} new')
+    violations = bounds.check(runs)
+    for item in violations:
+        label = 'KNOWN RED' if item.check in listed else 'BOUND'
+        print(f'{label} {item.check}: {item.text}')
+    unlisted = [item for item in violations if item.check not in listed]
+    print(f'{len(violations) - len(unlisted)} known red, {len(unlisted)} new')
     return 1 if unlisted else 0
 
 
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,4 +1,4 @@
-"""Fake backend servers and callers for runs in virtual time."""
+"""Simulate backend servers and callers in virtual time."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 if typing.TYPE_CHECKING:
     from bench import world
 
-#: Requests beyond its slots that a server holds before it sheds.
+#: Requests that a server queues before it sheds load.
 SERVER_BACKLOG = 4
 #: Seconds between two notifications of a feed.
 FEED_S = 1.0
-#: Seconds until a caller repeats a message, doubled each time (RFC 7252).
+#: Seconds until a caller retransmits a message; doubles each time (RFC 7252).
 CALLER_REPEAT_S = 2.0
 CALLER_REPEATS = 4
-#: Seconds without a notification after which a feed counts as broken.
+#: Seconds without a notification after which a feed is broken.
 FEED_GAP_S = 6.0
 
 
-class Ran(typing.NamedTuple):
-    """One line of a server's log."""
+class RequestRun(typing.NamedTuple):
+    """The start of a request at a server."""
 
     at: float
     instance: str
@@ -35,11 +35,15 @@
 
 
 class FakeServer:
-    """Run requests in slots; shed beyond a backlog; serve feeds."""
+    """Run requests in slots, shed load beyond a backlog, serve feeds.
+
+    :ivar epoch: number of crashes so far.
+    :ivar cold_until: time until which requests take twice as long.
+    """
 
     def __init__(
         self,
-        owner: world.World,
+        simulation: world.World,
         instance: str,
         service: str,
         *,
@@ -47,8 +51,8 @@
         service_s: float,
         seed: int,
     ) -> None:
-        """Start idle."""
-        self._world = owner
+        """Start without requests and feeds."""
+        self._world = simulation
         self._instance = instance
         self._service = service
         self._slots = slots
@@ -60,10 +64,10 @@
         self.epoch = 0
         self.cold_until = 0.0
         self.up = True
-        owner.schedule(self._random.random() * FEED_S, self._notify)
+        simulation.schedule(self._random.random() * FEED_S, self._notify)
 
-    def die(self) -> None:
-        """Lose everything that runs, waits or is observed."""
+    def crash(self) -> None:
+        """Stop; drop all running and queued requests and all feeds."""
         self.up = False
         self.epoch += 1
         self._running = 0
@@ -71,7 +75,7 @@
         self._feeds.clear()
 
     def receive(self, call: int, body: bytes) -> None:
-        """Take a request from the agent."""
+        """Handle a request from the agent."""
         if not self.up:
             self._world.server_refused(self._instance, self._service)
             return
@@ -96,7 +100,7 @@
         method, segment, identity = fields[3], fields[4], fields[8]
         weight = self._world.weights.get((method, segment), 1.0)
         guarded = method == 'POST'
-        ran = Ran(
+        ran = RequestRun(
             self._world.now,
             self._instance,
             self._service,
@@ -132,8 +136,13 @@
         self._world.schedule(FEED_S, self._notify)
 
 
-class Asked(typing.NamedTuple):
-    """One line of a caller's record."""
+class RequestOutcome(typing.NamedTuple):
+    """The final outcome of a request at its caller.
+
+    :ivar at: time at which the caller sent the request.
+    :ivar kind: path segment of the request.
+    :ivar seconds: time until the outcome.
+    """
 
     at: float
     identity: str
@@ -143,31 +152,34 @@
 
 
 class FakeCaller:
-    """One flow of a caller: requests one after another, or one feed."""
+    """A caller with one flow, which sends requests or observes a feed."""
 
     def __init__(
-        self, owner: world.World, number: int, service: str, flow: bytes
+        self, simulation: world.World, number: int, service: str, flow: bytes
     ) -> None:
-        """Start silent."""
-        self._world = owner
+        """Create a caller that has sent nothing yet."""
+        self._world = simulation
         self._service = service
         self.flow = flow
         self.number = number
         self._count = 0
         self._mid = 0
-        self._open: dict[bytes, dict[str, typing.Any]] = {}
+        self._pending: dict[bytes, dict[str, typing.Any]] = {}
         self.feed: dict[str, typing.Any] | None = None
         self.flow_broken = False
 
     @property
     def unfinished(self) -> int:
-        """Return how many requests have no final answer."""
-        return len(self._open)
+        """Return the number of requests without a final outcome."""
+        return len(self._pending)
 
     def ask(
         self, method: str, segment: str, *, deadline_s: float | None = None
     ) -> str:
-        """Send one request; its outcome goes to the world's record."""
+        """Send a request and return its identity.
+
+        Its final outcome is appended to ``World.asked``.
+        """
         self._count += 1
         identity = f'{self._service}-{self.number}-{self._count}'
         token = self._count.to_bytes(4, 'big')
@@ -180,12 +192,12 @@
             'deadline': deadline_s,
             'began': self._world.now,
         }
-        self._open[token] = state
+        self._pending[token] = state
         self._transmit_new(state, None)
         return identity
 
     def observe(self) -> None:
-        """Begin a feed."""
+        """Register for a feed."""
         identity = f'{self._service}-{self.number}-feed'
         self.feed = {
             'identity': identity,
@@ -200,7 +212,7 @@
             'gap': 0.0,
             'notes': 0,
         }
-        self._open[b'feed'] = self.feed
+        self._pending[b'feed'] = self.feed
         self._transmit_new(self.feed, 0)
 
     def _transmit_new(
@@ -230,7 +242,7 @@
         mid: int,
         repeats: int,
     ) -> None:
-        if state['token'] not in self._open or state['mid'] != mid:
+        if state['token'] not in self._pending or state['mid'] != mid:
             return
         if repeats > CALLER_REPEATS:
             self._finish(state, 'lost')
@@ -246,9 +258,9 @@
         )
 
     def _finish(self, state: dict[str, typing.Any], outcome: str) -> None:
-        del self._open[state['token']]
+        del self._pending[state['token']]
         self._world.asked.append(
-            Asked(
+            RequestOutcome(
                 state['began'],
                 state['identity'],
                 state['segment'],
@@ -258,12 +270,12 @@
         )
 
     def receive(self, payload: bytes) -> None:
-        """Take a datagram from the fabric."""
+        """Handle a datagram from the fabric."""
         answer = fake_codec.Answer(*msgspec.msgpack.decode(payload))
         if answer.kind == 'note':
-            self._on_note(answer)
+            self._on_notification(answer)
             return
-        state = self._open.get(answer.token)
+        state = self._pending.get(answer.token)
         if state is None or state['mid'] != answer.message_id:
             return
         if answer.kind == 'challenge':
@@ -274,11 +286,11 @@
         if outcome == 'answer' and answer.identity != state['identity']:
             outcome = 'crossed'
         if state is self.feed:
-            self._on_note(answer)
+            self._on_notification(answer)
         self._finish(state, outcome)
         self._world.answered(self, outcome, answer.retry_after_s)
 
-    def _on_note(self, answer: fake_codec.Answer) -> None:
+    def _on_notification(self, answer: fake_codec.Answer) -> None:
         feed = self.feed
         if feed is None or answer.sequence <= feed['sequence']:
             return
@@ -292,7 +304,7 @@
         feed['last'] = self._world.now
 
     def feed_broken(self) -> bool:
-        """Tell whether the feed went silent for too long or never began."""
+        """Return whether the feed never started or had too long a gap."""
         feed = self.feed
         if feed is None:
             return False
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,9 @@
-"""Measure the programs' own paths against a bare loop in the same run.
+"""Compare the data path of the programs with a bare forwarding loop.
 
-Datagrams are put into a socket in batches; only the time in which the program
-takes them out, decides and sends is counted. The bare loop does the same with
-nothing between receiving and sending.
+Both are timed alternately in the same run. Datagrams are written to a
+socket in batches. Only the time in which the program receives, decides and
+sends is counted. The bare loop receives and sends the same datagrams without
+any processing in between.
 """
 
 from __future__ import annotations
@@ -34,28 +35,28 @@
 PAYLOAD = b'x' * 100
 FLOWS_HELD = 200_000
 TABLE_SIZES = (10, 1_000, 54_000)
-#: Targets of one service in the tables that are timed.
+#: Targets of each service in the tables that are timed.
 TARGETS_PER_SERVICE = 2
 _KEY = '00' * 16
 
 
 def _sink() -> socket.socket:
-    """Return a socket that takes datagrams and never reads them."""
+    """Return a socket that accepts datagrams and never reads them."""
     sink = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sink.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
     sink.bind(('127.0.0.1', 0))
     return sink
 
 
-def _values(**more: typing.Any) -> dict[str, typing.Any]:
-    nowhere = flow.Endpoint('127.0.0.1', 1)
+def _values(**overrides: typing.Any) -> dict[str, typing.Any]:
+    unused = flow.Endpoint('127.0.0.1', 1)
     return {
         'name': 'dispatch-1',
         'data-centre': 'dc-1',
-        'peer': nowhere,
-        'admin': nowhere,
-        'listen': nowhere,
-        'fabric': nowhere,
+        'peer': unused,
+        'admin': unused,
+        'listen': unused,
+        'fabric': unused,
         'platform': 'http://127.0.0.1:1',
         'seal-keys': (bytes.fromhex(_KEY),),
         'hash-key': (bytes.fromhex(_KEY),),
@@ -64,23 +65,23 @@
         'start-spread': 0.0,
         'stop-limit': 1.0,
         'linger': 1.0,
-        **more,
+        **overrides,
     }
 
 
 def _documents(sink: socket.socket) -> list[typing.Any]:
-    """Return register and rules whose agents are all the sink."""
-    drive = world.World(shapes.PRAIRIE, seed=1)
+    """Return register and rules in which every agent has the sink's port."""
+    simulation = world.World(shapes.PRAIRIE, seed=1)
     port = sink.getsockname()[1]
-    for number, instance in enumerate(drive.register['instances']):
+    for number, instance in enumerate(simulation.register['instances']):
         instance['address'] = f'127.0.1.{number + 1}'
         instance['peer_port'] = port
-    drive.publish('register', drive.register)
-    return list(drive.documents.values())
+    simulation.publish('register', simulation.register)
+    return list(simulation.documents.values())
 
 
-class _Pair:
-    """A socket that is read, and one that fills it."""
+class _SocketPair:
+    """A socket that is read, and a connected one that writes to it."""
 
     def __init__(self) -> None:
         self.inner = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -91,23 +92,23 @@
         self.outer.connect(self.inner.getsockname())
 
     def fill(self, datagrams: list[bytes]) -> None:
-        """Put a batch into the socket that is read."""
+        """Send a batch to the socket that is read."""
         for datagram in datagrams:
             self.outer.send(datagram)
 
 
-def _bare(pair: _Pair, to: tuple[str, int]) -> float:
+def _time_bare_loop(pair: _SocketPair, destination: tuple[str, int]) -> float:
     began = time.perf_counter()
     while True:
         try:
             datagram, _ = pair.inner.recvfrom(65535)
         except BlockingIOError:
             break
-        pair.inner.sendto(datagram, to)
+        pair.inner.sendto(datagram, destination)
     return time.perf_counter() - began
 
 
-def _drain(pair: _Pair, handle: typing.Callable) -> float:
+def _time_handler(pair: _SocketPair, handle: typing.Callable) -> float:
     began = time.perf_counter()
     while True:
         try:
@@ -119,12 +120,12 @@
 
 
 def _plain_packets() -> list[bytes]:
-    chance = random.Random(5)
+    generator = random.Random(5)
     service = flow.Endpoint('10.9.0.1', 5683)
     return [
         proxy_header.pack_plain(
             flow.flow_key(
-                flow.Endpoint('10.8.0.1', chance.randrange(1024, 65535)),
+                flow.Endpoint('10.8.0.1', generator.randrange(1024, 65535)),
                 service,
             ),
             PAYLOAD,
@@ -134,36 +135,38 @@
 
 
 def _balancer_ratio() -> float:
-    """Return the balancer's packets a second over the bare loop's."""
+    """Return the packet rate of the balancer over that of the bare loop."""
     sink = _sink()
-    to = sink.getsockname()
-    built = balancer_application.BalancerProgram(_values(name='balancer-1'))
-    built._offer(_documents(sink))
-    built._node._caught_up = True
+    destination = sink.getsockname()
+    program = balancer_application.BalancerProgram(_values(name='balancer-1'))
+    program._offer(_documents(sink))
+    program._node._caught_up = True
     datagrams = _plain_packets()
     ratios = []
-    pair = _Pair()
+    pair = _SocketPair()
     for _ in range(ROUNDS):
         pair.fill(datagrams)
-        bare = _bare(pair, to)
+        bare = _time_bare_loop(pair, destination)
         pair.fill(datagrams)
-        ratios.append(bare / _drain(pair, built.on_datagram))
+        ratios.append(bare / _time_handler(pair, program.on_datagram))
     return statistics.median(ratios)
 
 
 class _NullLink:
-    """Take what goes to the server."""
+    """Send requests for the server to the sink."""
 
     endpoint = None
 
-    def __init__(self, sender: socket.socket, to: tuple[str, int]) -> None:
+    def __init__(
+        self, sender: socket.socket, destination: tuple[str, int]
+    ) -> None:
         self._sender = sender
-        self._to = to
+        self._destination = destination
         self.calls: list[int] = []
 
     def send(self, datagram: bytes, *, call: int) -> None:
-        """Send it to the sink and note the call."""
-        self._sender.sendto(datagram, self._to)
+        """Send a datagram to the sink and record its call."""
+        self._sender.sendto(datagram, self._destination)
         self.calls.append(call)
 
     def tick(self, now: float, *, busy: bool) -> None:
@@ -171,51 +174,52 @@
 
 
 def _agent_ratio() -> float:
-    """Return the agent's requests a second over a bare loop's.
+    """Return the request rate of the agent over that of a bare loop.
 
-    A request is a packet in, a datagram to the server, its answer in, and a
-    datagram to the caller: the bare loop passes two datagrams on.
+    For each request the agent receives a packet, sends a datagram to the
+    server, receives its answer and sends a datagram to the caller. The bare
+    loop forwards two datagrams.
     """
     sink = _sink()
-    to = sink.getsockname()
-    built = agent_application.AgentProgram(_values(fabric=to))
-    built._offer(_documents(sink))
-    built._node._caught_up = True
-    item = built._agent.find('dispatch')
+    destination = sink.getsockname()
+    program = agent_application.AgentProgram(_values(fabric=destination))
+    program._offer(_documents(sink))
+    program._node._caught_up = True
+    item = program._agent.find('dispatch')
     item.holder._executor.set_slots(10_000)
     item.holder._executor._started_at -= 60.0
-    link = _NullLink(built._peer.raw, to)
-    built._links['dispatch'] = link
+    link = _NullLink(program._peer.raw, destination)
+    program._links['dispatch'] = link
     service = flow.Endpoint('10.9.0.1', 5683)
     key = flow.flow_key(flow.Endpoint('10.8.0.1', 4000), service)
     item.holder.add_flow(key)
     item.holder.mark_verified(key)
     ratios = []
-    pair = _Pair()
+    pair = _SocketPair()
     mid = 0
     for _ in range(ROUNDS):
         packets = []
         for _ in range(BATCH // 2):
             mid += 1
-            packets.append(_get_packet(key, item.service.number, mid))
+            packets.append(_get_request_packet(key, item.service.number, mid))
         pair.fill(packets)
-        bare = _bare(pair, to)
+        bare = _time_bare_loop(pair, destination)
         pair.fill(packets)
-        bare += _bare(pair, to)
+        bare += _time_bare_loop(pair, destination)
         pair.fill(packets)
-        spent = _drain(pair, built._on_peer)
+        spent = _time_handler(pair, program._on_peer)
         answers = [_answer(call) for call in link.calls]
         link.calls.clear()
         pair.fill(answers)
-        spent += _drain(
+        spent += _time_handler(
             pair,
-            lambda datagram, address: built._on_server('dispatch', datagram),
+            lambda datagram, address: program._on_server('dispatch', datagram),
         )
         ratios.append(bare / spent)
     return statistics.median(ratios)
 
 
-def _get_packet(key: bytes, number: int, mid: int) -> bytes:
+def _get_request_packet(key: bytes, number: int, mid: int) -> bytes:
     message = aiocoap.Message(code=aiocoap.GET, payload=b'x' * 40)
     message.opt.uri_path = ('status',)
     message.mtype = aiocoap.CON
@@ -236,10 +240,10 @@
 
 
 def bytes_per_flow() -> float:
-    """Return memory of one held flow, with very many of them."""
-    drive = world.World(shapes.PRAIRIE, seed=1)
-    drive.run_until(1.0)
-    holder = drive.processes['dispatch-1'].node.find('dispatch').holder
+    """Return the mean memory of a held flow among many, in bytes."""
+    simulation = world.World(shapes.PRAIRIE, seed=1)
+    simulation.run_until(1.0)
+    holder = simulation.processes['dispatch-1'].node.find('dispatch').holder
     service = flow.Endpoint('10.9.0.1', 5683)
     gc.collect()
     tracemalloc.start()
@@ -253,7 +257,7 @@
 
 
 def build_inventory(targets: int) -> inventory.Inventory:
-    """Return a checked inventory of a size, two targets to a service."""
+    """Return a validated inventory, with two targets for each service."""
     services = max(1, targets // TARGETS_PER_SERVICE)
     instances = max(2, targets // 8)
     register = {
@@ -312,7 +316,7 @@
     return times
 
 
-async def _measure() -> dict[str, float]:
+async def _measure_ratios() -> dict[str, float]:
     figures = {
         'balancer_over_bare': _balancer_ratio(),
         'agent_requests_over_bare': _agent_ratio(),
@@ -321,8 +325,8 @@
 
 
 def measure() -> dict[str, float]:
-    """Return ratios, sizes, and times as notes."""
-    figures = asyncio.run(_measure())
+    """Return ratios and sizes, and times for information."""
+    figures = asyncio.run(_measure_ratios())
     figures['bytes_per_flow'] = bytes_per_flow()
     figures.update(table_times())
     return {name: round(value, 3) for name, value in figures.items()}
--- a/bench/programs.py
+++ b/bench/programs.py
@@ -1,4 +1,4 @@
-"""Measure the real programs while nothing is asked of them."""
+"""Measure the resource usage of the real programs without traffic."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from standins import deployment
 
-#: Seconds that are measured, after the start has settled.
+#: Seconds for the start to settle, and seconds that are measured.
 SETTLE_S = 5.0
 MEASURED_S = 10.0
 
@@ -27,7 +27,7 @@
 
 
 def idle() -> dict[str, dict[str, float]]:
-    """Return the largest processor share, memory and control by role."""
+    """Return the largest CPU, memory and control-traffic use by role."""
     register, rules = deployment.load_example('zilina')
     dep = deployment.Deployment(
         register,
@@ -46,7 +46,7 @@
         }
         before = {name: _cpu_seconds(pid) for name, pid in pids.items()}
         time.sleep(MEASURED_S)
-        found: dict[str, dict[str, float]] = {}
+        maxima: dict[str, dict[str, float]] = {}
         statuses = dep.statuses()
         for name, pid in pids.items():
             status = statuses[name.removeprefix('agent-')]
@@ -54,20 +54,22 @@
             if status['reader']:
                 role += '_that_reads'
             spent = _cpu_seconds(pid) - before[name]
-            _raise(found, role, 'cpu_percent', 100 * spent / MEASURED_S)
-            _raise(found, role, 'resident_mb', _resident_mb(pid))
+            _keep_maximum(
+                maxima, role, 'cpu_percent', 100 * spent / MEASURED_S
+            )
+            _keep_maximum(maxima, role, 'resident_mb', _resident_mb(pid))
             rate = status['control_bytes_per_s']
-            _raise(found, role, 'control_bytes_per_s', rate)
-        return found
+            _keep_maximum(maxima, role, 'control_bytes_per_s', rate)
+        return maxima
     finally:
         dep.stop()
 
 
-def _raise(
-    found: dict[str, dict[str, float]],
+def _keep_maximum(
+    maxima: dict[str, dict[str, float]],
     role: str,
     name: str,
     value: typing.Any,
 ) -> None:
-    of_role = found.setdefault(role, {})
+    of_role = maxima.setdefault(role, {})
     of_role[name] = max(of_role.get(name, 0.0), value)
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,7 +1,7 @@
-"""Drive decisions in virtual time: clock, network, platform, processes.
+"""Simulate clock, network, platform and processes in virtual time.
 
-This is a driver for the decisions of this library and nothing more: no
-kernel, no bytes on a wire, no model of hardware.
+The simulation drives the decisions of the library only: it models no kernel,
+no bytes on a wire and no hardware.
 """
 
 from __future__ import annotations
@@ -29,21 +29,27 @@
 
 KEYS = context.Keys((b'k' * 16,), b'h' * 16)
 TICK_S = 0.05
-#: Seconds until a platform change can be read, and between list reads.
+#: Seconds until a change at the platform reaches the processes, and seconds
+#: between two reads of the live list.
 PLATFORM_S = 0.01
 LIST_S = 1.0
-#: Seconds over which control traffic is summed for the busiest rate.
+#: Length of the windows in which control traffic is summed, seconds.
 CONTROL_WINDOW_S = 5.0
-#: Datagrams that a paused process's socket holds.
+#: Number of datagrams that the socket of a paused process holds.
 SOCKET_QUEUE = 2000
 WALL_START_S = 1_000_000.0
 
 
 class Process:
-    """A node of the system in virtual time."""
+    """A simulated agent or balancer.
+
+    :ivar queue: calls that wait in the socket while the process is paused.
+    :ivar control: bytes of control traffic sent, by window.
+    :ivar in_force: time at which each revision came into force.
+    """
 
     def __init__(self, node: agent.Agent | balancer.Balancer) -> None:
-        """Start running."""
+        """Create a running process."""
         self.node = node
         self.alive = True
         self.paused_until = 0.0
@@ -53,7 +59,17 @@
 
 
 class World:
-    """Everything of one run."""
+    """A simulated deployment with its network, platform and callers.
+
+    :ivar ran: requests that servers started.
+    :ivar asked: final outcomes of requests at their callers.
+    :ivar published: time at which each revision was published.
+    :ivar listed: the live list of the platform.
+    :ivar partition_of: number of the partition of each process, 0 if absent.
+    :ivar loss: fraction of datagrams that are lost.
+    :ivar duplicate: fraction of datagrams that are delivered twice.
+    :ivar reads: number of reads from the platform.
+    """
 
     def __init__(
         self,
@@ -63,17 +79,17 @@
         service_s: float = 0.02,
         balancers: int = 3,
     ) -> None:
-        """Start all processes at time zero, with register and rules out.
+        """Publish register and rules and start all processes at time zero.
 
-        :param service_s: mean time a server works on one request.
+        :param service_s: mean service time of a request, seconds.
         """
         self.shape = shape
         self.seed = seed
         self.service_s = service_s
         self.now = 0.0
         self.random = random.Random(seed)
-        self.ran: list[fakes.Ran] = []
-        self.asked: list[fakes.Asked] = []
+        self.ran: list[fakes.RequestRun] = []
+        self.asked: list[fakes.RequestOutcome] = []
         self.weights = {('POST', shape.guarded): 2.0}
         self.processes: dict[str, Process] = {}
         self.servers: dict[tuple[str, str], fakes.FakeServer] = {}
@@ -83,7 +99,7 @@
         self.listed: dict[str, roster.ListedInstance] = {}
         self.platform_up = True
         self.list_lag_s = 0.5
-        self.parted: dict[str, int] = {}
+        self.partition_of: dict[str, int] = {}
         self.loss = 0.0
         self.duplicate = 0.0
         self.reads = 0
@@ -94,7 +110,7 @@
         self._revision = 0
         self._addresses: dict[tuple[str, int], str] = {}
         self._fabric: list[str] = []
-        self._starts = 0
+        self._start_count = 0
         self.register, self.rules = shapes.documents(shape)
         self.publish('register', self.register)
         self.publish('rules', self.rules)
@@ -111,7 +127,7 @@
     def schedule(
         self, delay: float, action: typing.Callable, *arguments: typing.Any
     ) -> None:
-        """Call something later."""
+        """Schedule a call after a delay, in seconds."""
         self._sequence += 1
         heapq.heappush(
             self._events,
@@ -119,7 +135,7 @@
         )
 
     def run_until(self, end: float) -> None:
-        """Let virtual time pass."""
+        """Run all events up to a virtual time."""
         while self._events and self._events[0][0] <= end:
             at, _, action, arguments = heapq.heappop(self._events)
             self.now = at
@@ -127,7 +143,7 @@
         self.now = end
 
     def publish(self, key: str, content: typing.Any) -> int:
-        """Publish a document as an operator."""
+        """Publish a document as an operator and return its revision."""
         self._revision += 1
         if not isinstance(content, bytes):
             content = json.dumps(content).encode()
@@ -135,10 +151,10 @@
         self.documents[key] = document
         self.published[self._revision] = self.now
         for name in list(self.processes):
-            self.schedule(PLATFORM_S, self._watch, name)
+            self.schedule(PLATFORM_S, self._on_platform_change, name)
         return self._revision
 
-    def _watch(self, name: str) -> None:
+    def _on_platform_change(self, name: str) -> None:
         process = self.processes[name]
         if not process.alive or not self.platform_up:
             return
@@ -148,10 +164,10 @@
         self._deliver(name, self._offer, name, list(self.documents.values()))
 
     def set_platform(self, up: bool) -> None:
-        """Take the platform down, or bring it back."""
+        """Make the platform available or unavailable."""
         self.platform_up = up
         for name in self.processes:
-            self.schedule(PLATFORM_S, self._watch, name)
+            self.schedule(PLATFORM_S, self._on_platform_change, name)
 
     def _offer(
         self, name: str, documents: list[configuration.Document]
@@ -165,33 +181,33 @@
 
     def _read_list(self) -> None:
         self.schedule(LIST_S, self._read_list)
-        seen = list(self.listed.values())
-        self.schedule(self.list_lag_s, self._take_list, seen)
+        listing = list(self.listed.values())
+        self.schedule(self.list_lag_s, self._deliver_list, listing)
 
-    def _take_list(self, seen: list[roster.ListedInstance]) -> None:
+    def _deliver_list(self, listing: list[roster.ListedInstance]) -> None:
         if not self.platform_up:
             return
         self._fabric = [
             item.name
-            for item in seen
+            for item in listing
             if item.role == roster.ROLE_BALANCER and not item.leaving_since
         ]
         for name, process in self.processes.items():
             if process.alive and process.node.is_reader:
                 self.reads += 1
-                self._deliver(name, self._offer_list, name, seen)
+                self._deliver(name, self._offer_list, name, listing)
 
     def _offer_list(
-        self, name: str, seen: list[roster.ListedInstance]
+        self, name: str, listing: list[roster.ListedInstance]
     ) -> None:
         node = self.processes[name].node
-        self._perform(name, node.live_list(seen, self.now))
+        self._perform(name, node.live_list(listing, self.now))
 
     def _new_member(
         self, name: str, role: str, centre: str, host: str
     ) -> messages.Member:
-        self._starts += 1
-        incarnation = int((WALL_START_S + self.now) * 1000) + self._starts
+        self._start_count += 1
+        incarnation = int((WALL_START_S + self.now) * 1000) + self._start_count
         return roster.new_member(
             name,
             role=role,
@@ -202,7 +218,7 @@
         )
 
     def start_instance(self, instance: dict[str, typing.Any]) -> None:
-        """Start server and agent of an instance."""
+        """Start the servers and the agent of an instance."""
         name = instance['name']
         for service in self.rules['services']:
             targets = {item['instance'] for item in service['targets']}
@@ -218,7 +234,7 @@
         self.start_agent(instance)
 
     def start_agent(self, instance: dict[str, typing.Any]) -> None:
-        """Start, or start again, the agent of an instance."""
+        """Start or restart the agent of an instance."""
         own = self._new_member(
             instance['name'],
             roster.ROLE_AGENT,
@@ -232,7 +248,7 @@
             randomness=random.Random(self.random.randrange(1 << 30)),
             now=self.now,
         )
-        self._begin(own, node)
+        self._add_process(own, node)
 
     def start_balancer(self, name: str) -> None:
         """Start a balancer."""
@@ -249,11 +265,11 @@
             randomness=random.Random(self.random.randrange(1 << 30)),
             now=self.now,
         )
-        self._begin(own, node)
+        self._add_process(own, node)
         if self.now == 0.0:
             self._fabric.append(name)
 
-    def _begin(
+    def _add_process(
         self,
         own: messages.Member,
         node: agent.Agent | balancer.Balancer,
@@ -263,13 +279,13 @@
         self.listed[own.name] = roster.ListedInstance(
             own.name, own.role, own.data_centre, own.host, own.port, 0
         )
-        self.schedule(PLATFORM_S, self._watch, own.name)
+        self.schedule(PLATFORM_S, self._on_platform_change, own.name)
         self.schedule(
             self.random.random() * TICK_S, self._tick, own.name, node
         )
         if self.platform_up:
-            seen = list(self.listed.values())
-            self.schedule(PLATFORM_S, self._offer_list, own.name, seen)
+            listing = list(self.listed.values())
+            self.schedule(PLATFORM_S, self._offer_list, own.name, listing)
 
     def _tick(self, name: str, node: typing.Any) -> None:
         process = self.processes[name]
@@ -287,18 +303,18 @@
             action(*arguments)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process without a graceful stop."""
         self.processes[name].alive = False
 
     def kill_instance(self, name: str) -> None:
-        """Kill agent and servers of an instance."""
+        """Kill the agent and the servers of an instance."""
         self.kill(name)
         for (instance, _), server in self.servers.items():
             if instance == name:
-                server.die()
+                server.crash()
 
     def pause(self, name: str, seconds: float) -> None:
-        """Freeze a process; what arrives waits in its socket."""
+        """Pause a process; datagrams for it wait in its socket."""
         self.processes[name].paused_until = self.now + seconds
 
     def leave(self, name: str) -> None:
@@ -323,16 +339,18 @@
         self.listed[name] = self.listed[name]._replace(leaving_since=at)
 
     def part(self, names: typing.Iterable[str]) -> None:
-        """Cut some processes off from all others; callers reach both."""
-        self.parted = dict.fromkeys(names, 1)
+        """Partition some processes from the others; callers reach all."""
+        self.partition_of = dict.fromkeys(names, 1)
 
     def _reaches(self, sender: str, receiver: str) -> bool:
-        return self.parted.get(sender, 0) == self.parted.get(receiver, 0)
+        return self.partition_of.get(sender, 0) == self.partition_of.get(
+            receiver, 0
+        )
 
     def _deliver(
         self, name: str, action: typing.Callable, *arguments: typing.Any
     ) -> None:
-        """Hand something to a process, or to its socket while paused."""
+        """Call a handler of a process; queue the call during a pause."""
         process = self.processes.get(name)
         if process is None or not process.alive:
             return
@@ -352,7 +370,7 @@
                 case messages.ToAgent():
                     self._send_packet(name, action)
                 case messages.ToCaller():
-                    self._hop(
+                    self._transmit(
                         self.shape.client_s + self.shape.hop_s,
                         self._to_caller,
                         action.flow,
@@ -365,7 +383,7 @@
                 case messages.FetchDocuments():
                     self._fetch(name, action)
 
-    def _hop(
+    def _transmit(
         self, delay: float, action: typing.Callable, *arguments: typing.Any
     ) -> None:
         if self.loss and self.random.random() < self.loss:
@@ -384,8 +402,8 @@
         receiver = self._addresses.get((action.host, action.port))
         if receiver is None or not self._reaches(name, receiver):
             return
-        self.consents.note(name, receiver, message, self.now)
-        self._hop(
+        self.consents.record_message(name, receiver, message, self.now)
+        self._transmit(
             self.shape.hop_s,
             self._deliver,
             receiver,
@@ -402,7 +420,7 @@
         receiver = self._addresses.get((action.host, action.port))
         if receiver is None or not self._reaches(name, receiver):
             return
-        self._hop(
+        self._transmit(
             self.shape.hop_s,
             self._deliver,
             receiver,
@@ -426,7 +444,7 @@
         held = self.processes[name].node.config.held()
         documents = peer.node.config.documents_missing_from(held)
         window = int(self.now / CONTROL_WINDOW_S)
-        peer.control[window] += _answer_bytes(documents)
+        peer.control[window] += _documents_bytes(documents)
         self.schedule(
             3 * self.shape.hop_s,
             self._deliver,
@@ -437,11 +455,11 @@
         )
 
     def from_caller(self, flow_key: bytes, payload: bytes) -> None:
-        """Carry a caller's datagram to any balancer."""
+        """Deliver a caller's datagram to a random balancer."""
         if not self._fabric:
             return
         name = self.random.choice(self._fabric)
-        self._hop(
+        self._transmit(
             self.shape.client_s,
             self._deliver,
             name,
@@ -479,7 +497,7 @@
             caller.receive(payload)
 
     def from_server(self, instance: str, service: str, payload: bytes) -> None:
-        """Carry a server's datagram to the agent beside it."""
+        """Deliver a server's datagram to the agent of its instance."""
         self._deliver(instance, self._on_server, instance, service, payload)
 
     def _on_server(self, instance: str, service: str, payload: bytes) -> None:
@@ -489,15 +507,15 @@
         self._perform(instance, actions)
 
     def server_refused(self, instance: str, service: str) -> None:
-        """Tell the agent that no server is there."""
-        self._deliver(instance, self._on_lost, instance, service)
+        """Notify the agent that no server listens."""
+        self._deliver(instance, self._on_server_lost, instance, service)
 
-    def _on_lost(self, instance: str, service: str) -> None:
+    def _on_server_lost(self, instance: str, service: str) -> None:
         node = self.processes[instance].node
         self._perform(instance, node.server_lost(service, self.now))
 
     def add_caller(self, service: str) -> fakes.FakeCaller:
-        """Return a new caller of a service, with a flow of its own."""
+        """Add a caller of a service, which has a flow of its own."""
         number = len(self.callers) + 1
         entry = next(s for s in self.rules['services'] if s['name'] == service)
         endpoint = flow.Endpoint(entry['address'], entry['port'])
@@ -512,12 +530,12 @@
     def answered(
         self, caller: fakes.FakeCaller, outcome: str, retry_after_s: int
     ) -> None:
-        """Tell the scenario of a final answer."""
+        """Pass a final answer to ``on_answer``, if set."""
         if self.on_answer is not None:
             self.on_answer(caller, outcome, retry_after_s)
 
     def holders(self, caller: fakes.FakeCaller) -> list[str]:
-        """Return the living agents that hold a caller's flow."""
+        """Return the names of live agents that hold a caller's flow."""
         found = []
         for name, process in self.processes.items():
             if not process.alive or not isinstance(process.node, agent.Agent):
@@ -528,7 +546,7 @@
         return found
 
 
-def _answer_bytes(documents: list[configuration.Document]) -> int:
-    """Return the size of documents as processes send them to each other."""
+def _documents_bytes(documents: list[configuration.Document]) -> int:
+    """Return the transfer size of documents between two processes."""
     content = b''.join(item.content for item in documents)
     return len(gzip.compress(content, 1, mtime=0)) + 60 * len(documents)
