--- a/bench/packet_bound.py
+++ b/bench/packet_bound.py
@@ -36,9 +36,9 @@
 #: the request itself; each twice the way of a packet, with one hop inside.
 ROUND_TRIP_S = 0.0075
 #: Service times spread by half of their mean.
-SPREAD = 0.5
+SERVICE_TIME_SPREAD = 0.5
 #: Requests drawn for each that a window has: a share is then good to 0.01.
-DRAWS = 20
+DRAWS_PER_REQUEST = 20
 #: Windows that are told, from the one with the loss.
 WINDOWS = 4
 SEED = 1
@@ -69,12 +69,13 @@
     """One loss of all power.
 
     :ivar at: seconds; windows are counted from 0.
-    :ivar back_at: when the first processes and servers take packets again.
+    :ivar restored_at: when the first processes and servers take packets
+        again.
     :ivar flow_reuse_s: mean seconds until a caller uses an open flow again.
     """
 
     at: float
-    back_at: float
+    restored_at: float
     flow_reuse_s: float
 
 
@@ -89,43 +90,45 @@
     """Return the share of the worth that a window's requests can earn."""
     earned = owed = 0.0
     for kind in kinds:
-        for _ in range(round(kind.per_s * length_s * DRAWS)):
+        for _ in range(round(kind.per_s * length_s * DRAWS_PER_REQUEST)):
             at = start + randomness.uniform(0.0, length_s)
             owed += kind.worth
-            earned += _earned(kind, loss, at, randomness)
+            earned += _earned_worth(kind, loss, at, randomness)
     return earned / owed
 
 
-def _earned(
+def _earned_worth(
     kind: Requests, loss: Loss, at: float, randomness: random.Random
 ) -> float:
     service_s = max(
         0.2 * kind.service_s,
-        randomness.gauss(kind.service_s, SPREAD * kind.service_s),
+        randomness.gauss(kind.service_s, SERVICE_TIME_SPREAD * kind.service_s),
     )
     if at + service_s + ROUND_TRIP_S <= loss.at:
         return kind.worth
-    first_use = at < loss.back_at or randomness.random() < _unused(loss, at)
+    first_use = at < loss.restored_at or randomness.random() < _unused_share(
+        loss, at
+    )
     if kind.guarded and not kind.flow_each and first_use:
         return 0.0
-    waited_s = _until_heard(at, loss)
+    waited_s = _seconds_until_received(at, loss)
     trips = 1 if kind.flow_each else 2
     if waited_s + trips * ROUND_TRIP_S + service_s <= kind.aim_s:
         return kind.worth
     return kind.late_worth
 
 
-def _unused(loss: Loss, at: float) -> float:
+def _unused_share(loss: Loss, at: float) -> float:
     """Return the share of flows that were not used since the return."""
-    return math.exp(-(at - loss.back_at) / loss.flow_reuse_s)
+    return math.exp(-(at - loss.restored_at) / loss.flow_reuse_s)
 
 
-def _until_heard(at: float, loss: Loss) -> float:
+def _seconds_until_received(at: float, loss: Loss) -> float:
     """Return the seconds until a packet of the caller meets a process."""
-    repeats = (0.0, *packet_caller.REPEATS_S)
+    repeats = (0.0, *packet_caller.DATA_REPEATS_S)
     return next(
-        (wait_s for wait_s in repeats if at + wait_s >= loss.back_at),
-        loss.back_at - at,
+        (wait_s for wait_s in repeats if at + wait_s >= loss.restored_at),
+        loss.restored_at - at,
     )
 
 
@@ -134,9 +137,9 @@
 
     :raises ValueError: if a figure is missing or none.
     """
-    figures = text.split(':')
-    words = set(figures[5:])
-    per_s, worth, late_worth, aim_s, service_s = map(float, figures[:5])
+    fields = text.split(':')
+    words = set(fields[5:])
+    per_s, worth, late_worth, aim_s, service_s = map(float, fields[:5])
     return Requests(
         per_s,
         worth,
--- a/bench/packet_caller.py
+++ b/bench/packet_caller.py
@@ -11,10 +11,10 @@
     from teaseldock.packets import packet
 
 #: Seconds after which a caller repeats an opening, and gives it up.
-OPENING_COPIES_S = (0.2, 0.6)
-OPENING_S = 1.4
+OPENING_REPEATS_S = (0.2, 0.6)
+OPENING_TIMEOUT_S = 1.4
 #: Seconds after which data without acknowledgement is repeated.
-REPEATS_S = (0.2, 0.6, 1.4, 3.0)
+DATA_REPEATS_S = (0.2, 0.6, 1.4, 3.0)
 
 
 class Request:
@@ -36,7 +36,7 @@
         self.flow = b''
         self.opened = False
         self.sequence = 0
-        self.start = 0
+        self.server_sequence = 0
         self.resets = 0
         self._open()
 
@@ -51,18 +51,22 @@
         self.opened = False
         flow = self.flow
         self._send(flow, opening=True)
-        for number, delay in enumerate(OPENING_COPIES_S, 1):
-            self.world.after(delay, lambda n=number: self._copy(flow, n))
-        self.world.after(OPENING_S, lambda: self._give_up(flow))
+        for number, delay in enumerate(OPENING_REPEATS_S, 1):
+            self.world.after(
+                delay, lambda n=number: self._repeat_opening(flow, n)
+            )
+        self.world.after(
+            OPENING_TIMEOUT_S, lambda: self._time_out_opening(flow)
+        )
 
     def _send(self, flow: bytes, **fields: typing.Any) -> None:
-        self.world.from_caller(packet_codec.made(flow, **fields))
+        self.world.from_caller(packet_codec.make_packet(flow, **fields))
 
-    def _copy(self, flow: bytes, number: int) -> None:
+    def _repeat_opening(self, flow: bytes, number: int) -> None:
         if flow == self.flow and not self.opened and not self.outcome:
             self._send(flow, opening=True, acknowledged=number)
 
-    def _give_up(self, flow: bytes) -> None:
+    def _time_out_opening(self, flow: bytes) -> None:
         if flow == self.flow and not self.opened:
             self._retry()
 
@@ -70,11 +74,11 @@
         if self.outcome:
             return
         if self.tries <= 0:
-            self._end('failed')
+            self._finish('failed')
             return
         self._open()
 
-    def _end(self, outcome: str) -> None:
+    def _finish(self, outcome: str) -> None:
         self.outcome = outcome
         self.ended = self.world.now
 
@@ -84,17 +88,17 @@
         self.outcome = ''
         self.sequence += 1
         flow, sequence = self.flow, self.sequence
-        for delay in (0.0, *REPEATS_S):
-            self.world.after(delay, lambda: self._repeat(flow, sequence))
+        for delay in (0.0, *DATA_REPEATS_S):
+            self.world.after(delay, lambda: self._send_data(flow, sequence))
 
-    def _repeat(self, flow: bytes, sequence: int) -> None:
+    def _send_data(self, flow: bytes, sequence: int) -> None:
         if flow == self.flow and sequence == self.sequence:
             if not self.outcome:
                 self._send(
                     flow,
                     length=1,
                     sequence=sequence,
-                    acknowledged=self.start,
+                    acknowledged=self.server_sequence,
                 )
 
     def receive(self, item: packet.Packet) -> None:
@@ -104,18 +108,20 @@
         if item.resetting:
             self.resets += 1
             if self.opened and not self.feed:
-                self._end('failed')
+                self._finish('failed')
                 return
             self._retry()
             return
         if item.accepting and not self.opened:
             self.opened = True
-            self.start = item.sequence
+            self.server_sequence = item.sequence
             self.sequence = 0
             self.ask()
         elif item.length and item.closing:
             self._retry()
         elif item.length and item.acknowledged == self.sequence:
-            self._end('answered')
+            self._finish('answered')
             if not self.feed:
-                self._send(self.flow, closing=True, acknowledged=self.start)
+                self._send(
+                    self.flow, closing=True, acknowledged=self.server_sequence
+                )
--- a/bench/packet_codec.py
+++ b/bench/packet_codec.py
@@ -12,19 +12,19 @@
 _DECODE = msgspec.msgpack.Decoder(packet.Packet).decode
 
 
-def read(raw: bytes) -> packet.Packet:
+def decode(raw: bytes) -> packet.Packet:
     """Return the packet that was encoded."""
     return _DECODE(raw)._replace(raw=raw)
 
 
-def made(flow: bytes, **fields: typing.Any) -> packet.Packet:
+def make_packet(flow: bytes, **fields: typing.Any) -> packet.Packet:
     """Return an encoded packet."""
     empty = packet.Packet(
         flow, False, False, False, False, False, 0, 0, 0, bytes(4), b''
     )
-    return sealed(empty._replace(**fields))
+    return with_raw(empty._replace(**fields))
 
 
-def sealed(item: packet.Packet) -> packet.Packet:
+def with_raw(item: packet.Packet) -> packet.Packet:
     """Return a packet with its own encoding as raw bytes."""
     return item._replace(raw=_ENCODE(item._replace(raw=b'')))
--- a/bench/packet_copies.py
+++ b/bench/packet_copies.py
@@ -22,24 +22,24 @@
 #: Writes a second, and seconds of them that are lost.
 WRITES_PER_S = 4.0
 LOST_S = 4.0
-AWAY_S = 1.0
+OUTAGE_S = 1.0
 #: Seconds that are played after the return, and between two looks.
-LOOKED_S = 8.0
-LOOK_S = 0.05
+OBSERVED_S = 8.0
+CHECK_INTERVAL_S = 0.05
 
 
 class Recovery(typing.NamedTuple):
     """What one play showed, after the store's return.
 
     :ivar read_s: seconds until all processes know the new history.
-    :ivar alike_s: seconds until all know exactly what the store holds.
-    :ivar calls: to the store in :data:`LOOKED_S`.
+    :ivar converged_s: seconds until all know exactly what the store holds.
+    :ivar calls: to the store in :data:`OBSERVED_S`.
     :ivar mean_bytes: control bytes a second and process meanwhile.
     :ivar most_bytes: of the busiest second of any process.
     """
 
     read_s: float
-    alike_s: float
+    converged_s: float
     calls: int
     mean_bytes: float
     most_bytes: int
@@ -54,7 +54,7 @@
     ]
 
 
-def is_alike(process: packet_world.Process) -> bool:
+def matches_store(process: packet_world.Process) -> bool:
     """Tell whether a process knows what the store holds, and nothing else."""
     store = process.world.store
     known = process.node.knowledge
@@ -97,32 +97,32 @@
     world.store.configure(1 + 1, routes(0))
     world.run(6.0)
     _write(world)
-    world.store.go_away()
-    world.run(AWAY_S)
-    world.store.come_back(LOST_S / 2 + AWAY_S)
+    world.store.stop()
+    world.run(OUTAGE_S)
+    world.store.restore_older_copy(LOST_S / 2 + OUTAGE_S)
     since, calls = world.now, world.store.calls
     era = positions.era(world.store.revision)
-    read_s = alike_s = LOOKED_S
-    while world.now - since < LOOKED_S:
-        world.run(LOOK_S)
+    read_s = converged_s = OBSERVED_S
+    while world.now - since < OBSERVED_S:
+        world.run(CHECK_INTERVAL_S)
         processes = list(world.processes.values())
         eras = {positions.era(p.node.knowledge.revision) for p in processes}
         after_s = world.now - since
         if eras == {era}:
             read_s = min(read_s, after_s)
-        if not all(map(is_alike, processes)):
-            alike_s = LOOKED_S
-        elif alike_s == LOOKED_S:
-            alike_s = after_s
+        if not all(map(matches_store, processes)):
+            converged_s = OBSERVED_S
+        elif converged_s == OBSERVED_S:
+            converged_s = after_s
     spent = {
         key: size
         for key, size in world.control_bytes.items()
         if key[1] >= int(since)
     }
-    mean = sum(spent.values()) / LOOKED_S / len(world.processes)
+    mean = sum(spent.values()) / OBSERVED_S / len(world.processes)
     return Recovery(
         read_s,
-        alike_s,
+        converged_s,
         world.store.calls - calls,
         mean,
         max(spent.values()),
@@ -143,7 +143,8 @@
         took_s = time.perf_counter() - began
         print(
             f'{balancers + servers:9d} {link_mbps:7.0f} {found.read_s:7.2f}'
-            f' {found.alike_s:8.2f} {found.calls:6d} {found.mean_bytes:8.0f}'
+            f' {found.converged_s:8.2f} {found.calls:6d}'
+            f' {found.mean_bytes:8.0f}'
             f' {found.most_bytes:8d} {took_s:7.1f}',
             flush=True,
         )
--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -26,7 +26,7 @@
 FLOWS = 20_000
 
 
-def seconds_each(what: typing.Callable[[int], object], rounds: int) -> float:
+def mean_call_s(what: typing.Callable[[int], object], rounds: int) -> float:
     """Return the mean time of a call."""
     began = time.perf_counter()
     for number in range(rounds):
@@ -34,7 +34,7 @@
     return (time.perf_counter() - began) / rounds
 
 
-def bytes_each(make: typing.Callable[[int], object], count: int) -> float:
+def mean_kept_bytes(make: typing.Callable[[int], object], count: int) -> float:
     """Return the mean memory of what a call keeps."""
     tracemalloc.start()
     for number in range(count):
@@ -78,7 +78,7 @@
 
     for number in range(ROUNDS):
         place(number)
-    return 1e6 * seconds_each(place, ROUNDS)
+    return 1e6 * mean_call_s(place, ROUNDS)
 
 
 def new_mesh() -> mesh.Mesh:
@@ -116,9 +116,9 @@
     feed = world.request(feed=True)
     world.run(1.0)
     process = next(p for p in world.balancers() if p.node.hinted_flows)
-    item = packet_codec.made(feed.flow, length=1, sequence=1)
+    item = packet_codec.make_packet(feed.flow, length=1, sequence=1)
     process.to_process = lambda host, datagram: None
-    return 1e6 * seconds_each(
+    return 1e6 * mean_call_s(
         lambda _: process.node.on_packet(item, world.now), ROUNDS
     )
 
@@ -128,7 +128,7 @@
     return number.to_bytes(4, 'big') + bytes(8)
 
 
-def asked_whom_us(targets: int) -> float:
+def holder_lookup_us(targets: int) -> float:
     """Return microseconds of finding out who may hold a lost flow.
 
     :param targets: in all; one in fifty is of the flow's service.
@@ -157,14 +157,14 @@
     hint = hints.Hint('service-0', hints.HintState.SEARCHED)
     hosts = usable.holders(flow(1), hint, 0.1)
     assert len(hosts) == -(-targets // 50)
-    return 1e6 * seconds_each(
+    return 1e6 * mean_call_s(
         lambda number: usable.holders(flow(number), hint, 0.1), 200
     )
 
 
 def main() -> None:
     """Print all figures as one JSON object."""
-    remembered = hints.Hints()
+    hint_table = hints.Hints()
     tracker = tracking.Tracker(0.0)
     heartbeat = control.Heartbeat(
         False,
@@ -185,20 +185,22 @@
         },
         'forwarding_us': round(forwarding_us(), 1),
         'bytes_a_hint': round(
-            bytes_each(
-                lambda n: remembered.add(
+            mean_kept_bytes(
+                lambda n: hint_table.add(
                     n.to_bytes(12, 'big'), 'dispatch', hints.HintState.HINTED
                 ),
                 FLOWS,
             )
         ),
         'bytes_a_tracked_flow': round(
-            bytes_each(
+            mean_kept_bytes(
                 lambda n: tracker._add_flow(flow(n), 0.0, 0.0),
                 tracking.FLOWS_TRACKED,
             )
         ),
-        'asked_whom_us': {n: round(asked_whom_us(n)) for n in (50, 200, 1000)},
+        'asked_whom_us': {
+            n: round(holder_lookup_us(n)) for n in (50, 200, 1000)
+        },
         'heartbeat_bytes': len(control.pack_heartbeat(heartbeat)),
         'changes_bytes': {
             f'{targets} targets, {routes} routes': changes_bytes(
--- a/bench/packet_news.py
+++ b/bench/packet_news.py
@@ -19,29 +19,29 @@
 from bench import packet_world
 
 #: Fleets by balancers and servers that are played by default.
-SIZES = ((8, 18), (20, 53), (59, 136))
+FLEETS = ((8, 18), (20, 53), (59, 136))
 #: Speeds of the balancers' links, megabits a second.
 SPEEDS = (2.0, 20.0, 200.0)
 ROUTES = 1600
-DROPPED = 20
+DROPPED_ROUTES = 20
 #: Seconds between two looks at what processes know.
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 #: Seconds after the end of its trouble in which a process isn't judged.
-TOUCH_S = 4.0
+DISRUPTION_GRACE_S = 4.0
 #: Seconds in which what is in force is looked at after it was published.
-LONGEST_S = 15.0
+MAX_TRACKED_S = 15.0
 #: Seconds by which a process's own count of an age may be behind: a tick.
-PROOF_MARGIN_S = LOOK_S + packet_world.TICK_S
+PROOF_MARGIN_S = CHECK_INTERVAL_S + packet_world.TICK_S
 #: Seconds between two entries of a server that warms up, and how often.
 WARMUP_STEP_S = 1.0
 WARMUP_STEPS = 3
-RELEASED = 64
+RELEASED_SERVERS = 64
 RELEASE_GAP_S = 0.1
 
-Known = typing.Callable[[packet_world.Process], bool]
+AppliedCheck = typing.Callable[[packet_world.Process], bool]
 
 
-class Ages(typing.NamedTuple):
+class PropagationAges(typing.NamedTuple):
     """What one play showed.
 
     :ivar urgent_s: the longest time until a process in touch knew something
@@ -66,10 +66,10 @@
     unproven: int
 
 
-class _Item(typing.NamedTuple):
+class _TrackedChange(typing.NamedTuple):
     at: float
     urgent: bool
-    known: Known
+    is_applied: AppliedCheck
     waiting: set[str]
 
 
@@ -89,42 +89,44 @@
         )
         self._random = random.Random(seed)
         self._version = 1
-        self._items: list[_Item] = []
-        self._troubled: dict[str, float] = {}
+        self._tracked_changes: list[_TrackedChange] = []
+        self._disrupted_until: dict[str, float] = {}
         self._longest = {True: 0.0, False: 0.0}
         self._refused: dict[str, float] = {}
         self._oldest_proof_s = 0.0
         self._unproven = 0
         self._added = 0
         self._calls_before = self._calls()
-        self.world.after(0.0, self._look)
+        self.world.after(0.0, self._check_changes)
 
-    def _look(self) -> None:
-        self.world.after(LOOK_S, self._look)
+    def _check_changes(self) -> None:
+        self.world.after(CHECK_INTERVAL_S, self._check_changes)
         now = self.world.now
-        self._look_at_proofs(now)
-        for item in self._items:
+        self._check_proof_ages(now)
+        for item in self._tracked_changes:
             for host in list(item.waiting):
                 process = self.world.processes.get(host)
-                if process is None or self._is_troubled(host, item.at):
+                if process is None or self._is_disrupted(host, item.at):
                     item.waiting.discard(host)
                     continue
-                if item.known(process):
+                if item.is_applied(process):
                     item.waiting.discard(host)
-                    self._note(item, now)
+                    self._record_age(item, now)
                 elif item.urgent:
                     proof_s = process.node.alerts_age_s + PROOF_MARGIN_S
                     self._unproven += now - item.at > proof_s
-        overdue = [i for i in self._items if now - i.at > LONGEST_S]
+        overdue = [
+            i for i in self._tracked_changes if now - i.at > MAX_TRACKED_S
+        ]
         for item in overdue:
-            self._items.remove(item)
+            self._tracked_changes.remove(item)
             if item.waiting:
-                self._note(item, now)
+                self._record_age(item, now)
 
-    def _look_at_proofs(self, now: float) -> None:
+    def _check_proof_ages(self, now: float) -> None:
         for host, process in self.world.processes.items():
-            refused_until = self._refused.get(host, 0.0) + TOUCH_S
-            if self._is_troubled(host, now) or refused_until > now:
+            refused_until = self._refused.get(host, 0.0) + DISRUPTION_GRACE_S
+            if self._is_disrupted(host, now) or refused_until > now:
                 continue
             if process.node._reading.calling:
                 # It hears of any change at once; it has no proof until the
@@ -136,22 +138,28 @@
     def _calls(self) -> int:
         return self.world.store.calls
 
-    def _note(self, item: _Item, now: float) -> None:
+    def _record_age(self, item: _TrackedChange, now: float) -> None:
         age_s = now - item.at
         self._longest[item.urgent] = max(self._longest[item.urgent], age_s)
 
-    def _is_troubled(self, host: str, since: float) -> bool:
-        return self._troubled.get(host, -TOUCH_S) + TOUCH_S > since
+    def _is_disrupted(self, host: str, since: float) -> bool:
+        return (
+            self._disrupted_until.get(host, -DISRUPTION_GRACE_S)
+            + DISRUPTION_GRACE_S
+            > since
+        )
 
-    def expect(self, known: Known, *, urgent: bool) -> None:
+    def track_change(self, is_applied: AppliedCheck, *, urgent: bool) -> None:
         """Look when each process in touch knows something."""
         hosts = set(self.world.processes)
-        self._items.append(_Item(self.world.now, urgent, known, hosts))
+        self._tracked_changes.append(
+            _TrackedChange(self.world.now, urgent, is_applied, hosts)
+        )
 
-    def trouble(self, hosts: list[str], seconds: float) -> None:
+    def mark_disrupted(self, hosts: list[str], seconds: float) -> None:
         """Note that processes are out of touch for some seconds."""
         for host in hosts:
-            self._troubled[host] = self.world.now + seconds
+            self._disrupted_until[host] = self.world.now + seconds
 
     def drain(self, host: str) -> None:
         """Let a server say that it leaves, unless it has."""
@@ -162,16 +170,16 @@
         server.draining = True
         self.world.store.put(server)
 
-        def known(process: packet_world.Process) -> bool:
+        def is_applied(process: packet_world.Process) -> bool:
             target = process.node.knowledge.targets.get(name)
             return target is None or target.draining
 
-        self.expect(known, urgent=True)
+        self.track_change(is_applied, urgent=True)
         self.world.after(3.0, lambda: self._remove(name))
 
     def _remove(self, name: str) -> None:
         self.world.store.remove(name)
-        self.expect(
+        self.track_change(
             lambda process: name not in process.node.knowledge.targets,
             urgent=True,
         )
@@ -197,7 +205,7 @@
         """Publish many routes, or drop some of them again."""
         self._version += 1
         version = self._version
-        first = 0 if many else DROPPED
+        first = 0 if many else DROPPED_ROUTES
         routes = [packet_world.route('dispatch')] + [
             packet_world.route('dispatch', port=1000 + index)
             for index in range(first, ROUTES)
@@ -205,24 +213,24 @@
         self.world.store.configure(version, routes)
         last = packet_world.route('dispatch', port=1000).address
 
-        def known(process: packet_world.Process) -> bool:
+        def is_applied(process: packet_world.Process) -> bool:
             held = process.node.knowledge
             if held.version > version:
                 # A later one, which may have the route again or not.
                 return True
             return (held.route(last) is not None) is many
 
-        self.expect(known, urgent=not many)
+        self.track_change(is_applied, urgent=not many)
 
     def evacuate(self, *, active: bool) -> None:
         """Empty a data centre, or take it back."""
         self.world.store.evacuate('elsewhere', active=active)
 
-        def known(process: packet_world.Process) -> bool:
+        def is_applied(process: packet_world.Process) -> bool:
             evacuated = process.node.knowledge.evacuated
             return ('elsewhere' in evacuated) is active
 
-        self.expect(known, urgent=active)
+        self.track_change(is_applied, urgent=active)
 
     def release(self) -> None:
         """Replace servers one after the other."""
@@ -231,7 +239,7 @@
             for host, server in self.world.servers.items()
             if not server.draining
         ]
-        old = sorted(serving)[:RELEASED]
+        old = sorted(serving)[:RELEASED_SERVERS]
         for index, host in enumerate(old):
             at = index * RELEASE_GAP_S
             self._added += 1
@@ -242,23 +250,23 @@
     def freeze(self, seconds: float) -> None:
         """Let a third of the processes stand still."""
         hosts = sorted(self.world.processes)[::3]
-        self.trouble(hosts, seconds)
+        self.mark_disrupted(hosts, seconds)
         for host in hosts:
             self.world.processes[host].paused = True
-        self.world.after(seconds, lambda: self._wake(hosts))
+        self.world.after(seconds, lambda: self._resume(hosts))
 
-    def _wake(self, hosts: list[str]) -> None:
+    def _resume(self, hosts: list[str]) -> None:
         for host in hosts:
             process = self.world.processes.get(host)
             if process is not None:
-                process.wake()
+                process.resume()
 
     def refuse(self, seconds: float) -> None:
         """Let the store turn a third of the processes away."""
         hosts = sorted(self.world.processes)[1::3]
         self._refused.update(dict.fromkeys(hosts, self.world.now + seconds))
         self.world.store.refused.update(hosts)
-        self.world.store._wake()
+        self.world.store._answer_watches()
         self.world.after(
             seconds, lambda: self.world.store.refused.difference_update(hosts)
         )
@@ -274,7 +282,7 @@
 
     def restart(self, hosts: list[str]) -> None:
         """Start processes anew."""
-        self.trouble(hosts, 0.0)
+        self.mark_disrupted(hosts, 0.0)
         for host in hosts:
             self.world.start(host)
 
@@ -285,7 +293,7 @@
             at += self._random.expovariate(per_s)
             self.world.after(at, lambda: self.world.request(tries=1))
 
-    def result(self, since: float) -> Ages:
+    def result(self, since: float) -> PropagationAges:
         """Return what was seen after a moment."""
         world = self.world
         spent: collections.Counter[int] = collections.Counter()
@@ -296,7 +304,7 @@
                 most = max(most, size)
         seconds = max(1.0, world.now - since)
         mean = sum(spent.values()) / seconds / len(world.processes)
-        return Ages(
+        return PropagationAges(
             self._longest[True],
             self._longest[False],
             mean,
@@ -309,7 +317,7 @@
 
 def play(
     balancers: int, servers: int, link_mbps: float, *, seed: int = 1
-) -> Ages:
+) -> PropagationAges:
     """Play all troubles at once, and in a row."""
     game = Play(balancers, servers, link_mbps, seed=seed)
     world = game.world
@@ -338,7 +346,7 @@
 
 def main() -> None:
     """Print a table of ages."""
-    sizes = SIZES
+    sizes = FLEETS
     speeds: tuple[float, ...] = SPEEDS
     if len(sys.argv) > 3:
         sizes = ((int(sys.argv[1]), int(sys.argv[2])),)
--- a/bench/packet_server.py
+++ b/bench/packet_server.py
@@ -40,7 +40,7 @@
         self.up = True
         self.silent = False
         self.fails = False
-        self.resets_unknown = False
+        self.resets_unknown_flows = False
         self.draining = False
         self.flows: set[bytes] = set()
         self.ended: set[bytes] = set()
@@ -48,8 +48,8 @@
         self.opened: list[tuple[float, bytes]] = []
         self._busy = 0
         self._queue: list[tuple[bytes, int]] = []
-        self._sent: dict[bytes, int] = {}
-        self._starts: dict[bytes, int] = {}
+        self._next_sequences: dict[bytes, int] = {}
+        self._initial_sequences: dict[bytes, int] = {}
 
     @property
     def identifier(self) -> str:
@@ -71,22 +71,22 @@
             self.born_ms,
         )
 
-    def crash(self, *, keeps_identifier: bool = False) -> None:
+    def crash(self, *, keep_identifier: bool = False) -> None:
         """Lose everything; the next run begins when it is up again."""
         self.up = False
         self.born_ms += 1000
-        if not keeps_identifier:
+        if not keep_identifier:
             self.run += 1
         self.flows.clear()
         self._queue.clear()
         self._busy = 0
 
-    def end_idle(self, flow: bytes) -> None:
+    def close_idle(self, flow: bytes) -> None:
         """Close a flow that has been idle; its caller does not know yet."""
         self.ended.add(flow)
-        self._say(flow, refused=True)
+        self._send(flow, refused=True)
 
-    def take(self, item: packet.Packet, token: bytes) -> None:
+    def receive(self, item: packet.Packet, token: bytes) -> None:
         """Handle a packet that its agent gives it."""
         if not self.up or self.silent:
             return
@@ -95,17 +95,19 @@
             if item.flow not in self.flows:
                 self.flows.add(item.flow)
                 start = self.world.random.randrange(1 << 32)
-                self._starts[item.flow] = self._sent[item.flow] = start
-            self._say(item.flow, opening=True, accepting=True)
+                self._initial_sequences[item.flow] = self._next_sequences[
+                    item.flow
+                ] = start
+            self._send(item.flow, opening=True, accepting=True)
             return
         if item.flow in self.ended:
             if item.length:
                 self.flows.discard(item.flow)
-                self._say(item.flow, resetting=True)
+                self._send(item.flow, resetting=True)
             return
-        if item.flow not in self.flows and self.resets_unknown:
-            self._sent[item.flow] = item.acknowledged
-            self._say(item.flow, resetting=True)
+        if item.flow not in self.flows and self.resets_unknown_flows:
+            self._next_sequences[item.flow] = item.acknowledged
+            self._send(item.flow, resetting=True)
             return
         if item.flow not in self.flows:
             self.world.from_server(
@@ -115,53 +117,56 @@
         if item.resetting or item.closing:
             self.flows.discard(item.flow)
             return
-        if item.acknowledged != self._starts[item.flow]:
+        if item.acknowledged != self._initial_sequences[item.flow]:
             # The caller took another server's answer.
             self.flows.discard(item.flow)
-            self._say(item.flow, resetting=True)
+            self._send(item.flow, resetting=True)
             return
         if item.length:
-            self._request(item.flow, item.sequence)
+            self._accept_request(item.flow, item.sequence)
 
-    def _request(self, flow: bytes, sequence: int) -> None:
+    def _accept_request(self, flow: bytes, sequence: int) -> None:
         if self.fails:
             self.flows.discard(flow)
-            self._say(flow, resetting=True)
+            self._send(flow, resetting=True)
             return
         if any(done[1:] == (flow, sequence) for done in self.ran):
             return
         if (flow, sequence) in self._queue:
             return
         if self._busy < self.slots:
-            self._begin(flow, sequence)
+            self._start_request(flow, sequence)
         elif len(self._queue) < self.queue_limit:
             self._queue.append((flow, sequence))
         else:
-            self._say(flow, length=1, acknowledged=sequence, refused=True)
+            self._send(flow, length=1, acknowledged=sequence, refused=True)
 
-    def _begin(self, flow: bytes, sequence: int) -> None:
+    def _start_request(self, flow: bytes, sequence: int) -> None:
         self._busy += 1
         self.ran.append((self.world.now, flow, sequence))
         born_ms = self.born_ms
         spread = self.world.random.uniform(0.6, 1.4)
         self.world.after(
-            self.service_s * spread, lambda: self._end(flow, sequence, born_ms)
+            self.service_s * spread,
+            lambda: self._finish_request(flow, sequence, born_ms),
         )
 
-    def _end(self, flow: bytes, sequence: int, born_ms: int) -> None:
+    def _finish_request(
+        self, flow: bytes, sequence: int, born_ms: int
+    ) -> None:
         if born_ms != self.born_ms:
             return
         self._busy -= 1
-        self._say(flow, length=100, acknowledged=sequence)
+        self._send(flow, length=100, acknowledged=sequence)
         if self._queue:
-            self._begin(*self._queue.pop(0))
+            self._start_request(*self._queue.pop(0))
 
-    def _say(self, flow: bytes, *, refused: bool = False, **fields) -> None:
-        sequence = self._sent.get(flow, 0)
-        self._sent[flow] = sequence + fields.get('length', 0)
+    def _send(self, flow: bytes, *, refused: bool = False, **fields) -> None:
+        sequence = self._next_sequences.get(flow, 0)
+        self._next_sequences[flow] = sequence + fields.get('length', 0)
         self.world.from_server(
             self.host,
-            packet_codec.made(
+            packet_codec.make_packet(
                 flow, closing=refused, sequence=sequence, **fields
             ),
         )
--- a/bench/packet_store.py
+++ b/bench/packet_store.py
@@ -13,15 +13,15 @@
 
 
 #: Seconds of former states kept, for coming back from one of them.
-COPIES_KEPT_S = 20.0
+SNAPSHOTS_KEPT_S = 20.0
 #: Seconds after the store's return until the operator has written again what
 #: was lost, until the last server has, and until entries of dead ones expire.
-OPERATOR_WRITES_S = 0.3
-SERVERS_WRITE_S = 2.0
+OPERATOR_REWRITES_S = 0.3
+SERVERS_REWRITE_S = 2.0
 ENTRIES_EXPIRE_S = 3.6
 
 
-class _State(typing.NamedTuple):
+class _Snapshot(typing.NamedTuple):
     """What the store holds at one moment."""
 
     at: float
@@ -41,19 +41,19 @@
         self.refused: set[str] = set()
         # As positions: the translation at the platform's edge is not played.
         self.revision = 0
-        self.history_from = 0
+        self.oldest_revision = 0
         self._era = 0
         self.calls = 0
         self.delay_s = 0.004
         self._configuration: records.Configuration | None = None
-        self._configured: list[int] = []
+        self._configuration_revisions: list[int] = []
         self._targets: dict[str, records.Target] = {}
         self._events: list[
             records.Target | records.Removal | records.Evacuation
         ] = []
         self._evacuations: dict[str, records.Evacuation] = {}
         self._watches: list[tuple[packet_world.Process, int, float]] = []
-        self._copies: list[_State] = []
+        self._snapshots: list[_Snapshot] = []
 
     @property
     def configuration(self) -> records.Configuration | None:
@@ -67,17 +67,17 @@
 
     def _next_revision(self) -> int:
         """Keep a copy of what is there, and return the next revision."""
-        self._copies = [
+        self._snapshots = [
             copy
-            for copy in self._copies
-            if self.world.now - copy.at < COPIES_KEPT_S
+            for copy in self._snapshots
+            if self.world.now - copy.at < SNAPSHOTS_KEPT_S
         ]
-        self._copies.append(self._state())
+        self._snapshots.append(self._snapshot())
         self.revision += 1
         return self.revision
 
-    def _state(self) -> _State:
-        return _State(
+    def _snapshot(self) -> _Snapshot:
+        return _Snapshot(
             self.world.now,
             self.revision,
             self._configuration,
@@ -85,57 +85,57 @@
             dict(self._evacuations),
         )
 
-    def go_away(self) -> None:
+    def stop(self) -> None:
         """Answer nobody any more."""
         self.up = False
-        self._wake()
+        self._answer_watches()
 
-    def come_back(self, lost_s: float) -> None:
+    def restore_older_copy(self, lost_s: float) -> None:
         """Come back without what was written in the last seconds.
 
         The operator and the servers write it again; the entries of servers
         that have gone meanwhile expire.
         """
         since = self.world.now - lost_s
-        lost = [copy for copy in self._copies if copy.at >= since]
+        lost = [copy for copy in self._snapshots if copy.at >= since]
         newest, evacuations = self._configuration, dict(self._evacuations)
-        self._restore(lost[0] if lost else self._state())
-        self._copies = self._copies[: len(self._copies) - len(lost)]
+        self._restore(lost[0] if lost else self._snapshot())
+        self._snapshots = self._snapshots[: len(self._snapshots) - len(lost)]
         self._events.clear()
-        self.history_from = self.revision
+        self.oldest_revision = self.revision
         self.up = True
-        self._wake()
+        self._answer_watches()
         self.world.after(
-            OPERATOR_WRITES_S,
-            lambda: self._operator_writes(newest, evacuations),
+            OPERATOR_REWRITES_S,
+            lambda: self._operator_rewrites(newest, evacuations),
         )
         for host in self.world.servers:
-            delay_s = self.world.random.uniform(0.1, SERVERS_WRITE_S)
-            self.world.after(delay_s, lambda h=host: self._server_writes(h))
+            delay_s = self.world.random.uniform(0.1, SERVERS_REWRITE_S)
+            self.world.after(delay_s, lambda h=host: self._server_rewrites(h))
         self.world.after(ENTRIES_EXPIRE_S, self._expire)
 
-    def _restore(self, copy: _State) -> None:
+    def _restore(self, copy: _Snapshot) -> None:
         """Take the content of a copy, under positions of a new era."""
         self._era += 1
-        self.revision = self._replaced(copy.revision)
+        self.revision = self._in_current_era(copy.revision)
         if copy.configuration is not None:
             self._configuration = copy.configuration._replace(
-                revision=self._replaced(copy.configuration.revision)
+                revision=self._in_current_era(copy.configuration.revision)
             )
         self._targets = {
-            name: item._replace(revision=self._replaced(item.revision))
+            name: item._replace(revision=self._in_current_era(item.revision))
             for name, item in copy.targets.items()
         }
         self._evacuations = {
-            name: item._replace(revision=self._replaced(item.revision))
+            name: item._replace(revision=self._in_current_era(item.revision))
             for name, item in copy.evacuations.items()
         }
 
-    def _replaced(self, position: int) -> int:
+    def _in_current_era(self, position: int) -> int:
         """Return a revision of the copy as a position of this era."""
         return positions.make(self._era, positions.revision(position))
 
-    def _operator_writes(
+    def _operator_rewrites(
         self,
         newest: records.Configuration | None,
         evacuations: dict[str, records.Evacuation],
@@ -151,7 +151,7 @@
         for name in evacuations.keys() ^ self._evacuations.keys():
             self.evacuate(name, active=name in evacuations)
 
-    def _server_writes(self, host: str) -> None:
+    def _server_rewrites(self, host: str) -> None:
         server = self.world.servers.get(host)
         if server is None or not server.up or not self.up:
             return
@@ -181,7 +181,7 @@
     ) -> None:
         """Publish a configuration."""
         self._next_revision()
-        self._configured.append(self.revision)
+        self._configuration_revisions.append(self.revision)
         services = {
             choice.service for route in routes for choice in route.choices
         }
@@ -193,7 +193,7 @@
             sorted(services),
             cold_limits,
         )
-        self._wake()
+        self._answer_watches()
 
     def put(self, server: packet_server.Server) -> None:
         """Write a server's entry."""
@@ -201,14 +201,14 @@
         target = server.entry()._replace(revision=self.revision)
         self._targets[target.identifier] = target
         self._events.append(target)
-        self._wake()
+        self._answer_watches()
 
     def remove(self, identifier: str) -> None:
         """Remove an entry."""
         self._next_revision()
         del self._targets[identifier]
         self._events.append(records.Removal(identifier, self.revision))
-        self._wake()
+        self._answer_watches()
 
     def evacuate(self, data_centre: str, *, active: bool = True) -> None:
         """Request that a data centre gets no new flows, or take it back."""
@@ -218,13 +218,13 @@
         if active:
             self._evacuations[data_centre] = item
         self._events.append(item)
-        self._wake()
+        self._answer_watches()
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Make older revisions unavailable."""
-        self.history_from = self.revision
+        self.oldest_revision = self.revision
         self._events.clear()
-        self._wake()
+        self._answer_watches()
 
     def call(
         self, process: packet_world.Process, revision: int | None
@@ -234,21 +234,21 @@
         if not self.up or process.host in self.refused:
             self.world.after(
                 self.delay_s,
-                lambda: self._hand(process, 'store_failed', 'refused'),
+                lambda: self._deliver(process, 'store_failed', 'refused'),
             )
             return
         if revision is None:
             changes = self._changes(0)
             self.world.after(
                 self.delay_s,
-                lambda: self._hand(process, 'store_answered', changes),
+                lambda: self._deliver(process, 'store_answered', changes),
             )
             return
         self._watches.append((process, revision, self.world.now + 1.5))
-        self.world.after(self.delay_s, self._wake)
-        self.world.after(1.5 + self.delay_s, self._wake)
+        self.world.after(self.delay_s, self._answer_watches)
+        self.world.after(1.5 + self.delay_s, self._answer_watches)
 
-    def _hand(
+    def _deliver(
         self, process: packet_world.Process, method: str, *values: object
     ) -> None:
         if process.alive:
@@ -267,21 +267,23 @@
                 configuration,
                 evacuations=tuple(self._evacuations.values()),
             )
-        jumped = [item for item in self._configured if item > since][1:]
-        news = [item for item in self._events if item.revision > since]
+        later_configurations = [
+            item for item in self._configuration_revisions if item > since
+        ][1:]
+        events = [item for item in self._events if item.revision > since]
         removed = {
             item.identifier
-            for item in news
+            for item in events
             if isinstance(item, records.Removal)
         }
         evacuations = {
             item.data_centre: item
-            for item in news
+            for item in events
             if isinstance(item, records.Evacuation)
         }
         latest = {
             item.identifier: item
-            for item in news
+            for item in events
             if not isinstance(item, records.Evacuation)
         }
         return records.Changes(
@@ -300,29 +302,29 @@
             ],
             configuration,
             evacuations=tuple(evacuations.values()),
-            alerts_since=max([since, *jumped]),
+            alerts_since=max([since, *later_configurations]),
             superseded=tuple(
                 item
-                for item in news
+                for item in events
                 if isinstance(item, records.Target)
                 and latest[item.identifier] is not item
             ),
             superseded_removals=tuple(
                 item
-                for item in news
+                for item in events
                 if isinstance(item, records.Removal)
                 and latest[item.identifier] is not item
             ),
         )
 
-    def _wake(self) -> None:
+    def _answer_watches(self) -> None:
         waiting, self._watches = self._watches, []
         for process, since, until in waiting:
             if not self.up or process.host in self.refused:
-                self._hand(process, 'store_failed', 'cut')
-            elif since < self.history_from:
-                self._hand(process, 'store_lost_history')
+                self._deliver(process, 'store_failed', 'cut')
+            elif since < self.oldest_revision:
+                self._deliver(process, 'store_lost_history')
             elif since < self.revision or self.world.now >= until:
-                self._hand(process, 'store_answered', self._changes(since))
+                self._deliver(process, 'store_answered', self._changes(since))
             else:
                 self._watches.append((process, since, until))
--- a/bench/packet_world.py
+++ b/bench/packet_world.py
@@ -33,18 +33,18 @@
 CALLER_HOP_S = 0.003
 #: Seconds between two ticks of a process, and two looks of the fabric.
 TICK_S = 0.05
-FABRIC_S = 0.5
+FABRIC_PROBE_S = 0.5
 #: Seconds that a datagram waits at a link at the most; others are lost.
-LINK_QUEUE_S = 1.0
+MAX_LINK_QUEUE_S = 1.0
 #: Bytes of headers of each datagram, and bits of a byte.
 HEADER_BYTES = 28
 BITS = 8
 #: Kinds of datagrams that carry packets of callers.
-CALLERS_KINDS = (control.KIND_PACKET, control.KIND_RETURNED)
+CALLER_PACKET_KINDS = (control.KIND_PACKET, control.KIND_RETURNED)
 SERVICE_HOST = bytes((198, 18, 0, 1))
 
 
-class Lines(reporting.Reporter):
+class RecordingReporter(reporting.Reporter):
     """Keep the lines of all processes."""
 
     def __init__(self, world: World, name: str) -> None:
@@ -69,13 +69,13 @@
         self.server = server
         self.alive = True
         self.paused = False
-        self._held: list[tuple[bool, typing.Callable[[], None]]] = []
+        self._pending_inputs: list[tuple[bool, typing.Callable[[], None]]] = []
         options: dict[str, typing.Any] = {
             'host': host,
             'data_centre': server.data_centre if server else 'dc',
             'seeds': world.seeds,
             'io': self,
-            'reporter': Lines(world, host),
+            'reporter': RecordingReporter(world, host),
             'randomness': random.Random(zlib.crc32(host.encode())),
             'now': world.now,
         }
@@ -99,26 +99,26 @@
             self.node.tick(self.world.now)
         self.world.after(TICK_S, self._tick)
 
-    def take(
+    def handle_input(
         self, handle: typing.Callable[[], None], *, from_caller: bool = False
     ) -> None:
         """Handle an input, or keep it in the socket while paused."""
         if self.paused:
-            self._held.append((not from_caller, handle))
+            self._pending_inputs.append((not from_caller, handle))
             return
         self.node.check_pause(self.world.now)
         handle()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """End a pause; the socket of the callers is read first."""
         self.paused = False
-        held, self._held = self._held, []
+        held, self._pending_inputs = self._pending_inputs, []
         for _, handle in sorted(held, key=lambda item: item[0]):
-            self.take(handle)
+            self.handle_input(handle)
 
     def to_process(self, host: str, datagram: bytes) -> None:
         """Send to another process."""
-        self.world.carry(self.host, host, datagram)
+        self.world.send_datagram(self.host, host, datagram)
 
     def to_caller(self, item: packet.Packet) -> None:
         """Send to a caller."""
@@ -128,20 +128,22 @@
         """Give to the server."""
         assert self.server is not None
         server = self.server
-        self.world.after(0.0001, lambda: server.take(item, token))
+        self.world.after(0.0001, lambda: server.receive(item, token))
 
     def reset_caller(self, item: packet.Packet) -> None:
         """Reset a flow."""
-        self.world.note_reset(item.flow)
-        self.world.to_caller(packet_codec.made(item.flow, resetting=True))
+        self.world.record_reset(item.flow)
+        self.world.to_caller(
+            packet_codec.make_packet(item.flow, resetting=True)
+        )
 
     def read_packet(self, raw: bytes) -> packet.Packet:
         """Decode."""
-        return packet_codec.read(raw)
+        return packet_codec.decode(raw)
 
     def original(self, item: packet.Packet) -> bytes:
         """Encode as it was."""
-        return packet_codec.sealed(
+        return packet_codec.with_raw(
             item._replace(returned=False, token=bytes(4))
         ).raw
 
@@ -198,10 +200,10 @@
         self._ports = itertools.count(1024)
         self._events: list[tuple[float, int, typing.Callable]] = []
         self._order = itertools.count()
-        self._rotation: dict[str, int] = {}
+        self._probe_misses: dict[str, int] = {}
         for index in range(balancers):
             self.start(f'10.0.0.{index + 1}')
-        self.after(0.0, self._look)
+        self.after(0.0, self._probe_balancers)
 
     def after(self, delay: float, what: typing.Callable[[], None]) -> None:
         """Do something later."""
@@ -245,91 +247,97 @@
         """Return the balancers that run."""
         return [p for p in self.processes.values() if p.server is None]
 
-    def _look(self) -> None:
+    def _probe_balancers(self) -> None:
         """Let the fabric ask who is ready; two misses take out."""
-        self.after(FABRIC_S, self._look)
+        self.after(FABRIC_PROBE_S, self._probe_balancers)
         for process in self.balancers():
             ready = not process.paused and process.node.ready(self.now)
-            misses = 0 if ready else self._rotation.get(process.host, 2) + 1
-            self._rotation[process.host] = misses
-        for host in list(self._rotation):
+            misses = (
+                0 if ready else self._probe_misses.get(process.host, 2) + 1
+            )
+            self._probe_misses[process.host] = misses
+        for host in list(self._probe_misses):
             if host not in self.processes:
-                self._rotation[host] += 1
+                self._probe_misses[host] += 1
 
-    def carry(self, source: str, host: str, datagram: bytes) -> None:
+    def send_datagram(self, source: str, host: str, datagram: bytes) -> None:
         """Carry a datagram between processes."""
         size = len(datagram) + HEADER_BYTES
-        if datagram[1] not in CALLERS_KINDS:
+        if datagram[1] not in CALLER_PACKET_KINDS:
             self.control_bytes[source, int(self.now)] += size
-        waits_s = self._at_link(source, size)
-        if waits_s is None:
+        delay_s = self._link_delay_s(source, size)
+        if delay_s is None:
             return
         if frozenset((source, host)) in self.cut:
             return
         if self.loss and self.random.random() < self.loss:
             return
         self.after(
-            waits_s + HOP_S * self.random.uniform(0.8, 1.2),
-            lambda: self._arrive(source, host, datagram),
+            delay_s + HOP_S * self.random.uniform(0.8, 1.2),
+            lambda: self._deliver_datagram(source, host, datagram),
         )
 
-    def _at_link(self, source: str, size: int) -> float | None:
+    def _link_delay_s(self, source: str, size: int) -> float | None:
         """Return how long a datagram takes at its link, None if it is lost."""
         speed = self.links.get(source, self.link_mbps)
         if speed is None or source in self.servers:
             return 0.0
         free_at = max(self.now, self._link_free_at[source])
-        if free_at - self.now > LINK_QUEUE_S:
+        if free_at - self.now > MAX_LINK_QUEUE_S:
             self.link_losses += 1
             return None
         free_at += BITS * size / (speed * 1e6)
         self._link_free_at[source] = free_at
         return free_at - self.now
 
-    def _arrive(self, source: str, host: str, datagram: bytes) -> None:
+    def _deliver_datagram(
+        self, source: str, host: str, datagram: bytes
+    ) -> None:
         process = self.processes.get(host)
         if process is not None:
-            process.take(
+            process.handle_input(
                 lambda: process.node.on_datagram(datagram, source, self.now)
             )
 
     def from_caller(self, item: packet.Packet) -> None:
         """Let the fabric pass a caller's packet to a balancer."""
-        hosts = [h for h, misses in self._rotation.items() if misses < 2]
+        hosts = [h for h, misses in self._probe_misses.items() if misses < 2]
         if not hosts:
             return
         host = max(
             hosts, key=lambda name: zlib.crc32(item.flow + name.encode()) ^ 7
         )
-        self.after(CALLER_HOP_S, lambda: self._enter(host, item))
+        self.after(CALLER_HOP_S, lambda: self._deliver_to_balancer(host, item))
 
-    def _enter(self, host: str, item: packet.Packet) -> None:
+    def _deliver_to_balancer(self, host: str, item: packet.Packet) -> None:
         process = self.processes.get(host)
         if process is not None:
-            process.take(
+            process.handle_input(
                 lambda: process.node.on_packet(item, self.now),
                 from_caller=True,
             )
 
     def from_server(self, host: str, item: packet.Packet) -> None:
         """Give a server's packet to its agent."""
-        self.after(0.0001, lambda: self._leave(host, item))
+        self.after(0.0001, lambda: self._deliver_to_agent(host, item))
 
-    def _leave(self, host: str, item: packet.Packet) -> None:
+    def _deliver_to_agent(self, host: str, item: packet.Packet) -> None:
         process = self.processes.get(host)
         if process is not None:
-            process.take(lambda: process.node.on_server_packet(item, self.now))
+            process.handle_input(
+                lambda: process.node.on_server_packet(item, self.now)
+            )
 
     def to_caller(self, item: packet.Packet) -> None:
         """Carry a packet to its caller."""
-        self.after(CALLER_HOP_S, lambda: self._at_caller(item))
+        self.after(CALLER_HOP_S, lambda: self._deliver_to_caller(item))
 
-    def _at_caller(self, item: packet.Packet) -> None:
+    def _deliver_to_caller(self, item: packet.Packet) -> None:
         request = self._flows.get(item.flow)
         if request is not None:
             request.receive(item)
 
-    def note_reset(self, flow: bytes) -> None:
+    def record_reset(self, flow: bytes) -> None:
         """Keep a reset of the system's own, and whether a server held it."""
         held = any(
             flow in server.flows and server.up
--- a/tests/packets/test_evacuation.py
+++ b/tests/packets/test_evacuation.py
@@ -193,7 +193,7 @@
     world = three_centres()
     if how == 'outage':
         world.store.up = False
-        world.store._wake()
+        world.store._answer_watches()
         world.run(1.0)
         world.store.evacuate('east')
         world.run(1.0)
@@ -202,16 +202,16 @@
         world.store.evacuate('south')
         world.run(IN_FORCE_S)
         world.store.up = False
-        world.store._wake()
+        world.store._answer_watches()
         world.store.evacuate('south', active=False)
         world.store.evacuate('east')
-        world.store.forget_history()
+        world.store.discard_history()
         world.run(1.0)
         world.store.up = True
     else:
         world.store.evacuate('east')
     if how == 'history':
-        world.store.forget_history()
+        world.store.discard_history()
     if how == 'young':
         world.run(IN_FORCE_S)
         for host in sorted(world.processes):
--- a/tests/packets/test_flows.py
+++ b/tests/packets/test_flows.py
@@ -48,7 +48,7 @@
     world.run(16.0)
     for server in world.servers.values():
         for flow in list(server.flows):
-            server.end_idle(flow)
+            server.close_idle(flow)
     if balancers_restart:
         for process in world.balancers():
             world.start(process.host)
@@ -279,7 +279,7 @@
     agent.paused = True
     request = world.request(tries=1)
     world.run(0.3)
-    agent.wake()
+    agent.resume()
     world.run(0.5)
     assert request.outcome == 'answered'
     assert not world.resets
@@ -334,7 +334,7 @@
         feeds += [world.request(feed=True) for _ in range(8)]
         world.run(0.3)
         for agent in agents:
-            agent.wake()
+            agent.resume()
         world.run(1.0)
     assert all(feed.outcome == 'answered' for feed in feeds)
     accepted = [
@@ -373,7 +373,7 @@
             slots=2,
             service_s=0.03,
         )
-        server.resets_unknown = True
+        server.resets_unknown_flows = True
     for process in world.balancers():
         world.start(process.host)
     world.run(0.5)
--- a/tests/packets/test_freshness.py
+++ b/tests/packets/test_freshness.py
@@ -65,7 +65,7 @@
     """
     world = packet_world.small_world(balancers=6, servers=12)
     world.store.up = False
-    world.store._wake()
+    world.store._answer_watches()
     world.run(4.0)
     world.store.up = True
     server = next(iter(world.servers.values()))
@@ -155,7 +155,7 @@
     handlers = exchange.on_changes, exchange.on_alerts
     exchange.on_changes = exchange.on_alerts = lambda *_: None
     world.store.refused.add(process.host)
-    world.store._wake()
+    world.store._answer_watches()
     server = next(iter(world.servers.values()))
     server.draining = True
     world.store.put(server)
@@ -189,7 +189,7 @@
     process.node._exchange.on_changes = lambda *_: None
     process.node._exchange.on_alerts = lambda *_: None
     world.run(1.5)
-    process.wake()
+    process.resume()
     assert world.now - process.node.alerts_age_s <= published
 
 
--- a/tests/packets/test_lost_flows.py
+++ b/tests/packets/test_lost_flows.py
@@ -13,21 +13,21 @@
 
 def withhold_changes(world: packet_world.World, host: str) -> None:
     """Lose the changes that are sent to a process, but no heartbeat."""
-    carry = world.carry
+    send_datagram = world.send_datagram
     world.store.refused.add(host)
 
     def filtered(source: str, to: str, datagram: bytes) -> None:
         kind = control.unpack(datagram).kind
         if to != host or kind != control.KIND_CHANGES:
-            carry(source, to, datagram)
+            send_datagram(source, to, datagram)
 
-    world.carry = filtered
+    world.send_datagram = filtered
 
 
 def send_all_to(world: packet_world.World, host: str) -> None:
     """Let the fabric give all packets to one balancer."""
     for process in world.balancers():
-        world._rotation[process.host] = 0 if process.host == host else 9
+        world._probe_misses[process.host] = 0 if process.host == host else 9
 
 
 def test_lost_flows_are_reset_at_once() -> None:
--- a/tests/packets/test_moved_routes.py
+++ b/tests/packets/test_moved_routes.py
@@ -103,7 +103,7 @@
     world.store.refused.add(late)
     world.cut.update(cuts)
     for process in world.balancers():
-        world._rotation[process.host] = 0 if process.host == late else 9
+        world._probe_misses[process.host] = 0 if process.host == late else 9
     world.store.configure(2, routes(('printer', 1)))
     world.run(0.3)
     feed = world.request(feed=True)
@@ -112,7 +112,7 @@
     assert any(feed.flow in server.flows for server in world.servers.values())
     world.kill(late)
     for process in world.balancers():
-        world._rotation[process.host] = 0
+        world._probe_misses[process.host] = 0
     world.run(0.5)
     feed.ask()
     world.run(1.0)
--- a/tests/packets/test_older_copy.py
+++ b/tests/packets/test_older_copy.py
@@ -50,9 +50,9 @@
     world: packet_world.World, lost_s: float, *, away_s: float = 1.0
 ) -> None:
     """Let the store be away, and come back without its last writes."""
-    world.store.go_away()
+    world.store.stop()
     world.run(away_s)
-    world.store.come_back(lost_s + away_s)
+    world.store.restore_older_copy(lost_s + away_s)
 
 
 def drain(world: packet_world.World, host: str) -> records.Target:
@@ -139,9 +139,9 @@
     world = packet_world.small_world(balancers=4, servers=10)
     world.run(3.0)
     write(world, per_s=2.0, seconds=lost_s)
-    world.store.go_away()
+    world.store.stop()
     world.run(1.0)
-    world.store.come_back(lost_s + 1.0)
+    world.store.restore_older_copy(lost_s + 1.0)
     # More than was lost is written before anybody has called again.
     for host in sorted(world.servers):
         world.servers[host].slots += 100
@@ -222,10 +222,10 @@
     world.run(3.0)
     world.store.evacuate('elsewhere')
     world.run(1.0)
-    world.store.go_away()
+    world.store.stop()
     world.run(0.5)
-    world.store._operator_writes = lambda *_: None
-    world.store.come_back(2.0)
+    world.store._operator_rewrites = lambda *_: None
+    world.store.restore_older_copy(2.0)
     world.run(6.0)
     for process in world.processes.values():
         assert process.node.knowledge.evacuated == frozenset()
@@ -261,7 +261,7 @@
     world.run(STABLE_S + IN_FORCE_S)
     assert who_lacks_version(world) == []
     for process in world.processes.values():
-        assert packet_copies.is_alike(process), process.host
+        assert packet_copies.matches_store(process), process.host
 
 
 def test_each_process_tells_a_return_once() -> None:
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -181,7 +181,7 @@
     """
     world = packet_world.small_world(balancers=8, servers=18)
     world.store.up = False
-    world.store._wake()
+    world.store._answer_watches()
     world.run(8.0)
     for process in world.processes.values():
         assert not process.node.meters.counters['reads_old_proof']
@@ -206,7 +206,7 @@
     """
     world = packet_world.small_world(balancers=balancers, servers=servers)
     world.store.up = False
-    world.store._wake()
+    world.store._answer_watches()
     world.run(3.0)
     before = world.store.calls
     world.run(5.0)
@@ -224,7 +224,7 @@
     world.run(3.0)
     known = world.store.revision
     world.store.revision = 1
-    world.store.history_from = known + 1
+    world.store.oldest_revision = known + 1
     calls = world.store.calls
     world.run(4.0)
     assert world.store.calls - calls <= 60
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -96,13 +96,13 @@
     world = wide_world(link_mbps=2.0)
     world.run(2.0)
     slim = {process.host for process in world.balancers()}
-    answer = world.store._hand
+    answer = world.store._deliver
 
     def slowly(process: object, method: str, *values: object) -> None:
         delay_s = 1.5 if process.host in slim else 0.0
         world.after(delay_s, lambda: answer(process, method, *values))
 
-    world.store._hand = slowly
+    world.store._deliver = slowly
     calls = world.store.calls
     for host in list(world.processes):
         world.start(host)
@@ -116,7 +116,7 @@
     world = wide_world()
     hosts = sorted(process.host for process in world.balancers())
     world.store.refused = set(hosts[1:])
-    world.store._wake()
+    world.store._answer_watches()
     world.run(1.0)
     world.store.configure(7, [packet_world.route('dispatch')])
     world.run(2.0)
@@ -127,7 +127,7 @@
     """The store refuses all balancers; agents carry the news."""
     world = wide_world()
     world.store.refused = {process.host for process in world.balancers()}
-    world.store._wake()
+    world.store._answer_watches()
     world.store.configure(7, [packet_world.route('dispatch')])
     world.run(4.5)
     assert all(in_force(world, 7))
@@ -138,7 +138,7 @@
     world = wide_world()
     server = world.servers['10.0.1.5']
     world.store.remove(server.identifier)
-    world.store.forget_history()
+    world.store.discard_history()
     world.run(1.0)
     assert all(
         server.identifier not in process.node.knowledge.targets
@@ -152,7 +152,7 @@
     """A balancer that starts during an outage serves by its peers' word."""
     world = wide_world()
     world.store.up = False
-    world.store._wake()
+    world.store._answer_watches()
     world.run(1.0)
     for host in ('10.0.0.1', '10.0.0.4', '10.0.1.3'):
         world.start(host)
@@ -216,7 +216,7 @@
     # No agent may stand in for the balancer's check here.
     world.kill(server.host)
     world.start(server.host).node._refuses_openings = lambda: False
-    paused.wake()
+    paused.resume()
     world.run(1.5)
     assert paused.node.meters.counters['pauses'] == 1
     assert len(server.opened) == seen
@@ -249,7 +249,7 @@
     """
     world = wide_world()
     world.store.up = False
-    world.store._wake()
+    world.store._answer_watches()
     world.run(4.0)
     for server in world.servers.values():
         world.store.remove(server.identifier)
@@ -272,7 +272,7 @@
     world = wide_world()
     server = world.servers['10.0.1.1']
     world.store.up = False
-    world.store._wake()
+    world.store._answer_watches()
     world.run(1.0)
     world.store.remove(server.identifier)
     world.store.up = True
--- a/tests/packets/test_relaying.py
+++ b/tests/packets/test_relaying.py
@@ -42,7 +42,7 @@
     """Return a relay that has just begun an errand at time 0."""
     outlet = Outlet()
     relay = relaying.Relay(outlet.send, reporting.Meters())
-    raw = packet_codec.made(FLOW, length=1).raw
+    raw = packet_codec.make_packet(FLOW, length=1).raw
     sent = control.unpack(
         control.pack_relay_request(control.RelayRequest(HOSTS, raw))
     )
@@ -105,7 +105,7 @@
     relay.on_located(answer(searching.LocateResult.UNSURE), HOSTS[0])
     [(host, probe)] = outlet.take(control.KIND_PROBE)
     assert host == HOSTS[0]
-    assert packet_codec.read(probe.body).flow == FLOW
+    assert packet_codec.decode(probe.body).flow == FLOW
 
 
 def test_a_silent_host_hides_no_denials() -> None:
--- a/tests/packets/test_same_identifier.py
+++ b/tests/packets/test_same_identifier.py
@@ -19,7 +19,7 @@
 def crash_and_return(world: packet_world.World, host: str) -> None:
     """Let a server crash and be back at once under its identifier."""
     server = world.servers[host]
-    server.crash(keeps_identifier=True)
+    server.crash(keep_identifier=True)
     server.up = True
     world.store.put(server)
 
@@ -59,7 +59,7 @@
     world = packet_world.small_world(servers=1)
     world.run(17.0)
     host = '10.0.1.1'
-    world.servers[host].crash(keeps_identifier=True)
+    world.servers[host].crash(keep_identifier=True)
     world.servers[host].up = True
     feeds = [world.request(feed=True) for _ in range(5)]
     world.run(0.5)
--- a/tests/packets/test_storms.py
+++ b/tests/packets/test_storms.py
@@ -139,7 +139,7 @@
             )
     elif trigger == 'store':
         world.store.up = False
-        world.store._wake()
+        world.store._answer_watches()
     elif trigger == 'lapse':
         for host in list(world.servers)[::3]:
             world.store.remove(world.servers[host].identifier)
