--- a/bench/packet_bound.py
+++ b/bench/packet_bound.py
@@ -1,23 +1,24 @@
-"""Reckon what perfect decisions could earn around a loss of all power.
+"""Compute what ideal decisions could earn around a power loss.
 
 Usage:
   packet_bound --loss=S --back=S [--reuse=S] [--window=S] KIND...
 
 Each KIND is per_s:worth:late_worth:aim_s:service_s, with ``:guarded`` if its
-callers must not repeat it, or ``:flow-each`` if each opens a flow of its own.
+callers must not repeat requests on another flow, or ``:flow-each`` if each
+request opens a flow of its own.
 
 Options:
-  --loss=S    Seconds at which all power is lost.
-  --back=S    Seconds at which the first processes take packets again.
+  --loss=S    Time at which all power is lost, in seconds.
+  --back=S    Time at which the first processes accept packets again.
   --reuse=S   Mean seconds until a caller uses a flow again [default: 2.5].
   --window=S  Length of the windows, counted from 0 [default: 2].
 
-No decision can serve a request while no process runs, nor answer before its
-caller repeats it. What is left with instant and perfect decisions, servers
-that never queue, and the callers' own repeat times, is the bound that measured
-windows are held against. Flows end with their servers: feeds come again on a
-new flow after the reset that answers their next packet; an order whose packet
-went over such a flow is lost, since its caller must not repeat it.
+A request cannot be served while no process runs, nor answered before its
+caller repeats it. The bound assumes instant and ideal decisions, servers that
+never queue, and the callers' own repeat times. Measured windows are compared
+with it. Flows end with their servers. The next packet of a feed is answered by
+a reset, after which the caller opens a new flow. An order whose packet goes
+over such a flow is lost, because its caller must not repeat it.
 """
 
 from __future__ import annotations
@@ -32,14 +33,16 @@
 
 from bench import packet_caller
 
-#: Round trips of a repeated request before its answer: the reset, the opening,
-#: the request itself; each twice the way of a packet, with one hop inside.
+#: Round trip between caller and server, seconds: twice the one-way delay of a
+#: packet, with one hop between processes. A repeated request takes one each
+#: for the reset, the opening and the request itself.
 ROUND_TRIP_S = 0.0075
-#: Service times spread by half of their mean.
+#: Standard deviation of service times, as a share of their mean.
 SERVICE_TIME_SPREAD = 0.5
-#: Requests drawn for each that a window has: a share is then good to 0.01.
+#: Requests drawn for each request of a window: shares are then accurate to
+#: 0.01.
 DRAWS_PER_REQUEST = 20
-#: Windows that are told, from the one with the loss.
+#: Number of windows printed, from the one with the loss.
 WINDOWS = 4
 SEED = 1
 
@@ -47,13 +50,13 @@
 class Requests(typing.NamedTuple):
     """Requests of one kind.
 
-    :ivar per_s: how many begin each second.
-    :ivar worth: of one in time.
-    :ivar late_worth: of one answered later.
-    :ivar aim_s: latency objective.
-    :ivar service_s: mean time that a cold server takes.
-    :ivar guarded: whether callers don't repeat it on another flow.
-    :ivar flow_each: whether each opens a flow of its own.
+    :ivar per_s: requests that begin per second.
+    :ivar worth: worth of a request answered within the latency objective.
+    :ivar late_worth: worth of a request answered later.
+    :ivar aim_s: latency objective, seconds.
+    :ivar service_s: mean service time of a cold server, seconds.
+    :ivar guarded: whether callers must not repeat a request on another flow.
+    :ivar flow_each: whether each request opens a flow of its own.
     """
 
     per_s: float
@@ -66,11 +69,11 @@
 
 
 class Loss(typing.NamedTuple):
-    """One loss of all power.
+    """A power loss that stops all processes and servers.
 
-    :ivar at: seconds; windows are counted from 0.
-    :ivar restored_at: when the first processes and servers take packets
-        again.
+    :ivar at: time of the loss, seconds; windows are counted from 0.
+    :ivar restored_at: time at which the first processes and servers accept
+        packets again, seconds.
     :ivar flow_reuse_s: mean seconds until a caller uses an open flow again.
     """
 
@@ -87,7 +90,7 @@
     length_s: float,
     randomness: random.Random,
 ) -> float:
-    """Return the share of the worth that a window's requests can earn."""
+    """Return the share of its requests' worth that a window can earn."""
     earned = owed = 0.0
     for kind in kinds:
         for _ in range(round(kind.per_s * length_s * DRAWS_PER_REQUEST)):
@@ -119,12 +122,12 @@
 
 
 def _unused_share(loss: Loss, at: float) -> float:
-    """Return the share of flows that were not used since the return."""
+    """Return the share of flows not used since the processes' restart."""
     return math.exp(-(at - loss.restored_at) / loss.flow_reuse_s)
 
 
 def _seconds_until_received(at: float, loss: Loss) -> float:
-    """Return the seconds until a packet of the caller meets a process."""
+    """Return the seconds until a process receives a caller's packet."""
     repeats = (0.0, *packet_caller.DATA_REPEATS_S)
     return next(
         (wait_s for wait_s in repeats if at + wait_s >= loss.restored_at),
@@ -133,12 +136,12 @@
 
 
 def read_kind(text: str) -> Requests:
-    """Read one kind of request from the command line.
+    """Parse a KIND argument of the command line.
 
-    :raises ValueError: if a figure is missing or none.
+    :raises ValueError: if a number is missing or invalid.
     """
     fields = text.split(':')
-    words = set(fields[5:])
+    flags = set(fields[5:])
     per_s, worth, late_worth, aim_s, service_s = map(float, fields[:5])
     return Requests(
         per_s,
@@ -146,13 +149,13 @@
         late_worth,
         aim_s,
         service_s,
-        'guarded' in words,
-        'flow-each' in words,
+        'guarded' in flags,
+        'flow-each' in flags,
     )
 
 
 def main(arguments: list[str]) -> int:
-    """Print the bound of each window as JSON."""
+    """Print the bound of each window by its start, as JSON."""
     options = docopt.docopt(__doc__, arguments)
     kinds = [read_kind(text) for text in options['KIND']]
     loss = Loss(
--- a/bench/packet_caller.py
+++ b/bench/packet_caller.py
@@ -1,4 +1,4 @@
-"""Fake a caller: requests with copies, repetitions and further tries."""
+"""Fake a caller whose requests are retransmitted and retried."""
 
 from __future__ import annotations
 
@@ -10,23 +10,33 @@
     from bench import packet_world
     from teaseldock.packets import packet
 
-#: Seconds after which a caller repeats an opening, and gives it up.
+#: Seconds after which a caller repeats an opening packet, and after which the
+#: opening times out.
 OPENING_REPEATS_S = (0.2, 0.6)
 OPENING_TIMEOUT_S = 1.4
-#: Seconds after which data without acknowledgement is repeated.
+#: Seconds after which a caller repeats a request that is not acknowledged.
 DATA_REPEATS_S = (0.2, 0.6, 1.4, 3.0)
 
 
 class Request:
     """One request of a caller, over all its tries.
 
+    :ivar began: time at which the request began.
+    :ivar ended: time of its outcome.
     :ivar outcome: ``''`` while it runs, else ``answered`` or ``failed``.
+    :ivar feed: whether the flow stays open after the answer, and a reset of
+        the open flow leads to a further try; without it the request fails.
+    :ivar tries: number of flows that the caller may still open.
+    :ivar opened: whether the current flow is open.
+    :ivar sequence: number of the last request on the current flow.
+    :ivar server_sequence: initial sequence number of the server.
+    :ivar resets: number of resets that the caller has received.
     """
 
     def __init__(
         self, world: packet_world.World, *, feed: bool, tries: int
     ) -> None:
-        """Begin."""
+        """Open the first flow."""
         self.world = world
         self.began = world.now
         self.ended = 0.0
@@ -42,7 +52,7 @@
 
     @property
     def latency_s(self) -> float:
-        """Return how long the caller waited."""
+        """Return the seconds from the beginning to the outcome."""
         return self.ended - self.began
 
     def _open(self) -> None:
@@ -83,7 +93,7 @@
         self.ended = self.world.now
 
     def ask(self) -> None:
-        """Send the request over the open flow, until it is acknowledged."""
+        """Send a request over the open flow; repeat it until its outcome."""
         self.began = self.began if not self.outcome else self.world.now
         self.outcome = ''
         self.sequence += 1
@@ -102,7 +112,7 @@
                 )
 
     def receive(self, item: packet.Packet) -> None:
-        """Take a packet that came to the caller."""
+        """Handle a packet that the caller receives."""
         if item.flow != self.flow or self.outcome:
             return
         if item.resetting:
--- a/bench/packet_codec.py
+++ b/bench/packet_codec.py
@@ -1,4 +1,4 @@
-"""Encode packets for the world of :mod:`bench.packet_world`."""
+"""Encode and decode the packets of :mod:`bench.packet_world`."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 
 
 def decode(raw: bytes) -> packet.Packet:
-    """Return the packet that was encoded."""
+    """Decode a packet and keep the encoding as its raw bytes."""
     return _DECODE(raw)._replace(raw=raw)
 
 
 def make_packet(flow: bytes, **fields: typing.Any) -> packet.Packet:
-    """Return an encoded packet."""
+    """Return a packet with the given fields and its raw bytes.
+
+    Fields that are not given are false, zero or empty.
+    """
     empty = packet.Packet(
         flow, False, False, False, False, False, 0, 0, 0, bytes(4), b''
     )
@@ -26,5 +29,5 @@
 
 
 def with_raw(item: packet.Packet) -> packet.Packet:
-    """Return a packet with its own encoding as raw bytes."""
+    """Return a packet whose raw bytes are its own encoding."""
     return item._replace(raw=_ENCODE(item._replace(raw=b'')))
--- a/bench/packet_copies.py
+++ b/bench/packet_copies.py
@@ -1,7 +1,7 @@
-"""Measure how a fleet gets over a store that comes back from an older copy.
+"""Measure how a fleet recovers when the store restarts from an older copy.
 
-The load: the operator and the servers write all the time; the store is away
-for a moment and comes back without its last writes, beside 1,600 routes.
+The load: the operator and the servers write continuously, with 1,600 routes
+published. The store stops for a second and restarts without its last writes.
 
 ``python -m bench.packet_copies [BALANCERS SERVERS MBPS]``
 """
@@ -19,23 +19,25 @@
 #: Fleets by balancers, servers and speed of the balancers' links, Mbit/s.
 FLEETS = ((8, 18, 20.0), (20, 53, 20.0), (59, 136, 20.0), (59, 136, 200.0))
 ROUTES = 1600
-#: Writes a second, and seconds of them that are lost.
+#: Writes per second, and seconds of writes before the outage; the store loses
+#: the second half of them.
 WRITES_PER_S = 4.0
 LOST_S = 4.0
+#: Seconds for which the store is down.
 OUTAGE_S = 1.0
-#: Seconds that are played after the return, and between two looks.
+#: Seconds simulated after the restart, and between two checks.
 OBSERVED_S = 8.0
 CHECK_INTERVAL_S = 0.05
 
 
 class Recovery(typing.NamedTuple):
-    """What one play showed, after the store's return.
+    """Figures of one simulation, from the restart of the store.
 
-    :ivar read_s: seconds until all processes know the new history.
-    :ivar converged_s: seconds until all know exactly what the store holds.
-    :ivar calls: to the store in :data:`OBSERVED_S`.
-    :ivar mean_bytes: control bytes a second and process meanwhile.
-    :ivar most_bytes: of the busiest second of any process.
+    :ivar read_s: seconds until all processes have read the new era.
+    :ivar converged_s: seconds until all processes match the store.
+    :ivar calls: calls to the store in :data:`OBSERVED_S`.
+    :ivar mean_bytes: mean control bytes per second and process.
+    :ivar most_bytes: control bytes of the busiest second of any process.
     """
 
     read_s: float
@@ -46,7 +48,7 @@
 
 
 def routes(step: int) -> list[records.Route]:
-    """Return many routes, one of which changes with each step."""
+    """Return many routes, one of which differs in each step."""
     ports = [1000 + index for index in range(ROUTES)] + [5000 + step]
     return [
         packet_world.route('dispatch'),
@@ -55,7 +57,7 @@
 
 
 def matches_store(process: packet_world.Process) -> bool:
-    """Tell whether a process knows what the store holds, and nothing else."""
+    """Return whether a process has exactly the state of the store."""
     store = process.world.store
     known = process.node.knowledge
     published = store.configuration
@@ -83,10 +85,10 @@
         world.run(LOST_S / steps)
 
 
-def play(
+def simulate(
     balancers: int, servers: int, link_mbps: float, *, seed: int = 1
 ) -> Recovery:
-    """Play one return."""
+    """Simulate one restart of the store from an older copy."""
     world = packet_world.small_world(
         balancers=balancers,
         servers=servers,
@@ -130,7 +132,7 @@
 
 
 def main() -> None:
-    """Print a table."""
+    """Print a table of the figures of each fleet."""
     fleets: typing.Iterable[tuple[int, int, float]] = FLEETS
     if len(sys.argv) > 3:
         fleets = ((int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3])),)
@@ -139,7 +141,7 @@
     )
     for balancers, servers, link_mbps in fleets:
         began = time.perf_counter()
-        found = play(balancers, servers, link_mbps)
+        found = simulate(balancers, servers, link_mbps)
         took_s = time.perf_counter() - began
         print(
             f'{balancers + servers:9d} {link_mbps:7.0f} {found.read_s:7.2f}'
--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -1,4 +1,7 @@
-"""Measure what the packet family costs: ``python -m bench.packet_costs``."""
+"""Measure CPU time, memory and message sizes of the packet family.
+
+``python -m bench.packet_costs``
+"""
 
 from __future__ import annotations
 
@@ -22,20 +25,21 @@
 from teaseldock.packets import store_state
 from teaseldock.packets import tracking
 
+#: Calls per measured time, and flows per measured size.
 ROUNDS = 2000
 FLOWS = 20_000
 
 
-def mean_call_s(what: typing.Callable[[int], object], rounds: int) -> float:
-    """Return the mean time of a call."""
+def mean_call_s(call: typing.Callable[[int], object], rounds: int) -> float:
+    """Return the mean time of a call, in seconds."""
     began = time.perf_counter()
     for number in range(rounds):
-        what(number)
+        call(number)
     return (time.perf_counter() - began) / rounds
 
 
 def mean_kept_bytes(make: typing.Callable[[int], object], count: int) -> float:
-    """Return the mean memory of what a call keeps."""
+    """Return the mean memory that stays allocated after a call, in bytes."""
     tracemalloc.start()
     for number in range(count):
         make(number)
@@ -45,7 +49,7 @@
 
 
 def target(number: int) -> records.Target:
-    """Return a target."""
+    """Return the target with a number."""
     return records.Target(
         f'i-{number:010x}',
         'dispatch',
@@ -60,7 +64,7 @@
 
 
 def placement_us(targets: int) -> float:
-    """Return microseconds of placing a flow before one service's targets."""
+    """Return microseconds to place a flow on one of a service's targets."""
     known = knowledge.Knowledge()
     entries = [target(number) for number in range(targets)]
     configuration = records.Configuration(1, 1, 15_000, [], ['dispatch'])
@@ -73,8 +77,8 @@
     hint = hints.Hint('dispatch', hints.HintState.OPENING)
 
     def place(number: int) -> None:
-        seen = usable.for_new_flow(number.to_bytes(12, 'big'), hint, 0.1)
-        placing.pick(seen, data_centre='dc-0')
+        choices = usable.for_new_flow(number.to_bytes(12, 'big'), hint, 0.1)
+        placing.pick(choices, data_centre='dc-0')
 
     for number in range(ROUNDS):
         place(number)
@@ -82,7 +86,7 @@
 
 
 def new_mesh() -> mesh.Mesh:
-    """Return what a balancer that has heard nobody knows of others."""
+    """Return the mesh of a balancer that has received no heartbeats."""
     return mesh.Mesh(
         '10.9.0.1',
         is_balancer=True,
@@ -93,7 +97,7 @@
 
 
 def changes_bytes(targets: int, routes: int) -> int:
-    """Return bytes of everything a process knows, as sent to a peer."""
+    """Return the bytes of a full set of changes as sent to a peer."""
     configuration = records.Configuration(
         7,
         9,
@@ -111,7 +115,7 @@
 
 
 def forwarding_us() -> float:
-    """Return microseconds of passing on a packet of a known flow."""
+    """Return microseconds to forward a packet of a known flow."""
     world = packet_world.small_world()
     feed = world.request(feed=True)
     world.run(1.0)
@@ -124,14 +128,14 @@
 
 
 def flow(number: int) -> bytes:
-    """Return the key of a flow of one service address."""
+    """Return the key of a flow; all keys have the same service address."""
     return number.to_bytes(4, 'big') + bytes(8)
 
 
 def holder_lookup_us(targets: int) -> float:
-    """Return microseconds of finding out who may hold a lost flow.
+    """Return microseconds to list the hosts that may hold a lost flow.
 
-    :param targets: in all; one in fifty is of the flow's service.
+    :param targets: number of targets; the flow's service has one in fifty.
     """
     known = knowledge.Knowledge()
     processes = new_mesh()
@@ -163,7 +167,7 @@
 
 
 def main() -> None:
-    """Print all figures as one JSON object."""
+    """Print all figures as a JSON object."""
     hint_table = hints.Hints()
     tracker = tracking.Tracker(0.0)
     heartbeat = control.Heartbeat(
--- a/bench/packet_news.py
+++ b/bench/packet_news.py
@@ -1,9 +1,10 @@
-"""Measure how long it takes until processes know what a promise hangs on.
+"""Measure how long urgent changes take to reach all processes.
 
-A server leaves or is gone, a data centre is emptied, a route is dropped: each
-must be known at every process within seconds, whatever else is told at that
-moment. The load: 64 servers of a release that warm up, callers that open
-flows, 1,600 new routes, and processes that freeze, are cut off, or restart.
+A server leaves or is removed, a data centre is evacuated, a route is dropped:
+each change must reach every process within seconds, whatever other changes
+are distributed at that moment. The load: 64 servers of a release that warm up,
+callers that open flows, 1,600 new routes, and processes that freeze, are
+refused by the store, or restart.
 
 ``python -m bench.packet_news [BALANCERS SERVERS MBPS]``
 """
@@ -18,23 +19,26 @@
 
 from bench import packet_world
 
-#: Fleets by balancers and servers that are played by default.
+#: Default fleets: numbers of balancers and servers.
 FLEETS = ((8, 18), (20, 53), (59, 136))
-#: Speeds of the balancers' links, megabits a second.
+#: Speeds of the balancers' links, Mbit/s.
 SPEEDS = (2.0, 20.0, 200.0)
+#: Routes published, and how many of them are dropped again.
 ROUTES = 1600
 DROPPED_ROUTES = 20
-#: Seconds between two looks at what processes know.
+#: Seconds between two checks of the processes' state.
 CHECK_INTERVAL_S = 0.05
-#: Seconds after the end of its trouble in which a process isn't judged.
+#: Seconds after the end of a disruption for which a process is not measured.
 DISRUPTION_GRACE_S = 4.0
-#: Seconds in which what is in force is looked at after it was published.
+#: Seconds for which a change is tracked after it was published.
 MAX_TRACKED_S = 15.0
-#: Seconds by which a process's own count of an age may be behind: a tick.
+#: Seconds by which the age that a process computes may lag behind: a process
+#: updates it once per tick, and it is compared once per check.
 PROOF_MARGIN_S = CHECK_INTERVAL_S + packet_world.TICK_S
-#: Seconds between two entries of a server that warms up, and how often.
+#: Seconds between two entries of a server that warms up, and their number.
 WARMUP_STEP_S = 1.0
 WARMUP_STEPS = 3
+#: Servers that a release replaces, and seconds between two of them.
 RELEASED_SERVERS = 64
 RELEASE_GAP_S = 0.1
 
@@ -42,19 +46,22 @@
 
 
 class PropagationAges(typing.NamedTuple):
-    """What one play showed.
-
-    :ivar urgent_s: the longest time until a process in touch knew something
-        that a promise hangs on.
-    :ivar bulk_s: the same for routes that are new.
-    :ivar mean_bytes: control bytes a second and process, in the mean.
-    :ivar most_bytes: of the busiest second of any process.
-    :ivar proof_s: the greatest age of an alert that a process in touch, which
-        the store doesn't turn away, might not have known while it didn't ask
-        the store.
-    :ivar calls: to the store, of all processes.
-    :ivar unproven: how often a process lacked an alert that was older than its
-        proof: nothing may ever be counted here.
+    """Figures of one simulation.
+
+    Ages are measured only at processes that are not disrupted.
+
+    :ivar urgent_s: longest time until a process applied an urgent change, one
+        on which a guarantee depends.
+    :ivar bulk_s: longest time until a process applied new routes or the end
+        of an evacuation.
+    :ivar mean_bytes: mean control bytes per second and process.
+    :ivar most_bytes: control bytes of the busiest second of any process.
+    :ivar proof_s: greatest age of an alert that a process might lack, among
+        processes that the store does not refuse and that have no call to the
+        store in progress.
+    :ivar calls: calls to the store by all processes.
+    :ivar unproven: number of checks in which a process lacked an alert that
+        was older than its proof; must be 0.
     """
 
     urgent_s: float
@@ -67,6 +74,8 @@
 
 
 class _TrackedChange(typing.NamedTuple):
+    """A published change and the hosts that have not yet applied it."""
+
     at: float
     urgent: bool
     is_applied: AppliedCheck
@@ -74,12 +83,12 @@
 
 
 class Play:
-    """One fleet under load and trouble, and how old its knowledge gets."""
+    """A simulated fleet under load and disruptions, and its figures."""
 
     def __init__(
         self, balancers: int, servers: int, link_mbps: float, *, seed: int = 1
     ) -> None:
-        """Start a fleet that has just got ready."""
+        """Start a fleet and run it until its servers are ready."""
         self.world = packet_world.small_world(
             balancers=balancers,
             servers=servers,
@@ -92,7 +101,7 @@
         self._tracked_changes: list[_TrackedChange] = []
         self._disrupted_until: dict[str, float] = {}
         self._longest = {True: 0.0, False: 0.0}
-        self._refused: dict[str, float] = {}
+        self._refused_until: dict[str, float] = {}
         self._oldest_proof_s = 0.0
         self._unproven = 0
         self._added = 0
@@ -125,12 +134,15 @@
 
     def _check_proof_ages(self, now: float) -> None:
         for host, process in self.world.processes.items():
-            refused_until = self._refused.get(host, 0.0) + DISRUPTION_GRACE_S
+            refused_until = (
+                self._refused_until.get(host, 0.0) + DISRUPTION_GRACE_S
+            )
             if self._is_disrupted(host, now) or refused_until > now:
                 continue
             if process.node._reading.calling:
-                # It hears of any change at once; it has no proof until the
-                # store has answered that there is none.
+                # While a process waits for the store, it receives any change
+                # at once. Its proof is renewed only when the store answers
+                # that there is none.
                 continue
             age_s = process.node.alerts_age_s
             self._oldest_proof_s = max(self._oldest_proof_s, age_s)
@@ -150,19 +162,19 @@
         )
 
     def track_change(self, is_applied: AppliedCheck, *, urgent: bool) -> None:
-        """Look when each process in touch knows something."""
+        """Measure when each process has applied a change."""
         hosts = set(self.world.processes)
         self._tracked_changes.append(
             _TrackedChange(self.world.now, urgent, is_applied, hosts)
         )
 
     def mark_disrupted(self, hosts: list[str], seconds: float) -> None:
-        """Note that processes are out of touch for some seconds."""
+        """Exclude processes from the figures while they are disrupted."""
         for host in hosts:
             self._disrupted_until[host] = self.world.now + seconds
 
     def drain(self, host: str) -> None:
-        """Let a server say that it leaves, unless it has."""
+        """Drain a server and remove it, unless it already drains."""
         server = self.world.servers[host]
         if server.draining:
             return
@@ -185,7 +197,7 @@
         )
 
     def add(self, host: str) -> None:
-        """Start a server, which warms up."""
+        """Start a server that warms up."""
         self.world.add_server(
             host, service='dispatch', slots=1, service_s=0.03
         )
@@ -202,7 +214,7 @@
             self.world.store.put(server)
 
     def routes(self, *, many: bool) -> None:
-        """Publish many routes, or drop some of them again."""
+        """Publish all routes, or drop the first few of them."""
         self._version += 1
         version = self._version
         first = 0 if many else DROPPED_ROUTES
@@ -211,19 +223,19 @@
             for index in range(first, ROUTES)
         ]
         self.world.store.configure(version, routes)
-        last = packet_world.route('dispatch', port=1000).address
+        checked = packet_world.route('dispatch', port=1000).address
 
         def is_applied(process: packet_world.Process) -> bool:
-            held = process.node.knowledge
-            if held.version > version:
-                # A later one, which may have the route again or not.
+            known = process.node.knowledge
+            if known.version > version:
+                # A later version may have the route or not.
                 return True
-            return (held.route(last) is not None) is many
+            return (known.route(checked) is not None) is many
 
         self.track_change(is_applied, urgent=not many)
 
     def evacuate(self, *, active: bool) -> None:
-        """Empty a data centre, or take it back."""
+        """Start or end the evacuation of a data centre."""
         self.world.store.evacuate('elsewhere', active=active)
 
         def is_applied(process: packet_world.Process) -> bool:
@@ -233,7 +245,7 @@
         self.track_change(is_applied, urgent=active)
 
     def release(self) -> None:
-        """Replace servers one after the other."""
+        """Replace servers one after the other, as a rolling release does."""
         serving = [
             host
             for host, server in self.world.servers.items()
@@ -248,7 +260,7 @@
             self.world.after(at + 1.0, lambda old=host: self.drain(old))
 
     def freeze(self, seconds: float) -> None:
-        """Let a third of the processes stand still."""
+        """Pause a third of the processes."""
         hosts = sorted(self.world.processes)[::3]
         self.mark_disrupted(hosts, seconds)
         for host in hosts:
@@ -262,9 +274,11 @@
                 process.resume()
 
     def refuse(self, seconds: float) -> None:
-        """Let the store turn a third of the processes away."""
+        """Let the store refuse the calls of a third of the processes."""
         hosts = sorted(self.world.processes)[1::3]
-        self._refused.update(dict.fromkeys(hosts, self.world.now + seconds))
+        self._refused_until.update(
+            dict.fromkeys(hosts, self.world.now + seconds)
+        )
         self.world.store.refused.update(hosts)
         self.world.store._answer_watches()
         self.world.after(
@@ -272,7 +286,7 @@
         )
 
     def kill_readers(self) -> None:
-        """Restart all that read the store."""
+        """Restart all processes that read the store."""
         hosts = [
             host
             for host, process in self.world.processes.items()
@@ -281,20 +295,23 @@
         self.restart(hosts)
 
     def restart(self, hosts: list[str]) -> None:
-        """Start processes anew."""
+        """Restart processes without their state."""
         self.mark_disrupted(hosts, 0.0)
         for host in hosts:
             self.world.start(host)
 
     def call(self, per_s: float, seconds: float) -> None:
-        """Let callers open flows."""
+        """Let callers open flows at random times, at a mean rate."""
         at = 0.0
         while at < seconds:
             at += self._random.expovariate(per_s)
             self.world.after(at, lambda: self.world.request(tries=1))
 
     def result(self, since: float) -> PropagationAges:
-        """Return what was seen after a moment."""
+        """Return the figures.
+
+        :param since: time from which control bytes are counted.
+        """
         world = self.world
         spent: collections.Counter[int] = collections.Counter()
         most = 0
@@ -315,37 +332,37 @@
         )
 
 
-def play(
+def simulate(
     balancers: int, servers: int, link_mbps: float, *, seed: int = 1
 ) -> PropagationAges:
-    """Play all troubles at once, and in a row."""
-    game = Play(balancers, servers, link_mbps, seed=seed)
-    world = game.world
+    """Simulate all disruptions, overlapping and in sequence."""
+    simulation = Play(balancers, servers, link_mbps, seed=seed)
+    world = simulation.world
     since = world.now
-    game.call(3.0 * servers, 14.0)
-    game.release()
+    simulation.call(3.0 * servers, 14.0)
+    simulation.release()
     world.run(1.0)
-    game.refuse(9.0)
+    simulation.refuse(9.0)
     world.run(1.0)
-    game.routes(many=True)
+    simulation.routes(many=True)
     world.run(0.3)
-    game.evacuate(active=True)
-    game.freeze(2.5)
+    simulation.evacuate(active=True)
+    simulation.freeze(2.5)
     for _ in range(3):
         world.run(0.7)
-        game.kill_readers()
+        simulation.kill_readers()
     world.run(1.0)
-    game.routes(many=False)
-    game.restart(sorted(world.processes)[::2])
+    simulation.routes(many=False)
+    simulation.restart(sorted(world.processes)[::2])
     world.run(1.0)
-    game.routes(many=True)
-    game.evacuate(active=False)
+    simulation.routes(many=True)
+    simulation.evacuate(active=False)
     world.run(7.0)
-    return game.result(since)
+    return simulation.result(since)
 
 
 def main() -> None:
-    """Print a table of ages."""
+    """Print a table of the figures of each fleet and link speed."""
     sizes = FLEETS
     speeds: tuple[float, ...] = SPEEDS
     if len(sys.argv) > 3:
@@ -358,7 +375,7 @@
     for balancers, servers in sizes:
         for speed in speeds:
             began = time.perf_counter()
-            ages = play(balancers, servers, speed)
+            ages = simulate(balancers, servers, speed)
             took_s = time.perf_counter() - began
             print(
                 f'{balancers + servers:9d} {speed:7.0f} {ages.urgent_s:9.2f}'
--- a/bench/packet_server.py
+++ b/bench/packet_server.py
@@ -1,4 +1,4 @@
-"""Fake a backend server: it takes flows and runs requests in order."""
+"""Fake a backend server that accepts flows and runs requests in order."""
 
 from __future__ import annotations
 
@@ -13,7 +13,20 @@
 
 
 class Server:
-    """A backend server: it takes flows and runs requests in order."""
+    """A backend server that accepts flows and runs requests in order.
+
+    :ivar run: number of the current run, part of the identifier.
+    :ivar born_ms: start time of the current run.
+    :ivar up: whether the server runs.
+    :ivar silent: whether it ignores all packets.
+    :ivar fails: whether it resets the flow of each request.
+    :ivar resets_unknown_flows: whether it resets flows that it does not hold;
+        otherwise it returns their packets.
+    :ivar flows: flows that it holds.
+    :ivar ended: flows that it has closed because they were idle.
+    :ivar ran: time, flow and sequence of each request that it has started.
+    :ivar opened: time and flow of each opening that it has received.
+    """
 
     def __init__(
         self,
@@ -26,7 +39,11 @@
         queue: int = 16,
         data_centre: str = 'dc',
     ) -> None:
-        """Start ready and empty."""
+        """Create a running server without flows.
+
+        :param service_s: mean seconds to run a request.
+        :param queue: number of requests that may wait for a slot.
+        """
         self.world = world
         self.host = host
         self.service = service
@@ -53,11 +70,11 @@
 
     @property
     def identifier(self) -> str:
-        """Return the id of the present run."""
+        """Return the identifier of the current run."""
         return f'i-{self.host}-{self.run}'
 
     def entry(self) -> records.Target:
-        """Return what it registers."""
+        """Return the entry that the server registers."""
         return records.Target(
             self.identifier,
             self.service,
@@ -72,7 +89,12 @@
         )
 
     def crash(self, *, keep_identifier: bool = False) -> None:
-        """Lose everything; the next run begins when it is up again."""
+        """Crash and lose all flows and requests.
+
+        The next run begins when ``up`` is set again.
+
+        :param keep_identifier: whether it has the same identifier then.
+        """
         self.up = False
         self.born_ms += 1000
         if not keep_identifier:
@@ -82,12 +104,15 @@
         self._busy = 0
 
     def close_idle(self, flow: bytes) -> None:
-        """Close a flow that has been idle; its caller does not know yet."""
+        """Close an idle flow, before the caller has noticed."""
         self.ended.add(flow)
         self._send(flow, refused=True)
 
     def receive(self, item: packet.Packet, token: bytes) -> None:
-        """Handle a packet that its agent gives it."""
+        """Handle a packet that the agent passes on.
+
+        :param token: returned with a packet of a flow that it does not hold.
+        """
         if not self.up or self.silent:
             return
         if item.opening:
@@ -118,7 +143,7 @@
             self.flows.discard(item.flow)
             return
         if item.acknowledged != self._initial_sequences[item.flow]:
-            # The caller took another server's answer.
+            # The caller accepted the opening answer of another server.
             self.flows.discard(item.flow)
             self._send(item.flow, resetting=True)
             return
--- a/bench/packet_store.py
+++ b/bench/packet_store.py
@@ -1,4 +1,4 @@
-"""Fake the store: one revision counter, a history, outages, older copies."""
+"""Fake the store, with outages and restores from an older copy."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
     from bench import packet_world
 
 
-#: Seconds of former states kept, for coming back from one of them.
+#: Seconds for which snapshots are kept, to restore the store from one.
 SNAPSHOTS_KEPT_S = 20.0
-#: Seconds after the store's return until the operator has written again what
-#: was lost, until the last server has, and until entries of dead ones expire.
+#: Seconds after a restore until the operator has rewritten the lost
+#: configuration, until the last server has rewritten its entry, and until the
+#: entries of dead servers expire.
 OPERATOR_REWRITES_S = 0.3
 SERVERS_REWRITE_S = 2.0
 ENTRIES_EXPIRE_S = 3.6
+#: Seconds after which a watch is answered although nothing has changed.
+WATCH_TIMEOUT_S = 1.5
 
 
 class _Snapshot(typing.NamedTuple):
-    """What the store holds at one moment."""
+    """Contents of the store at one moment."""
 
     at: float
     revision: int
@@ -32,14 +35,23 @@
 
 
 class Store:
-    """A store with one revision counter, a history and outages."""
+    """A store with one revision counter, a history and outages.
+
+    :ivar up: whether the store answers calls.
+    :ivar refused: hosts whose calls fail.
+    :ivar revision: position of the last write.
+    :ivar oldest_revision: position from which the history is available.
+    :ivar calls: number of calls by processes.
+    :ivar delay_s: seconds until a read is answered.
+    """
 
     def __init__(self, world: packet_world.World) -> None:
-        """Start empty and up."""
+        """Create an empty store that answers calls."""
         self.world = world
         self.up = True
         self.refused: set[str] = set()
-        # As positions: the translation at the platform's edge is not played.
+        # These are positions of teaseldock.packets.positions; the model leaves
+        # out the platform's translation from store revisions.
         self.revision = 0
         self.oldest_revision = 0
         self._era = 0
@@ -57,16 +69,16 @@
 
     @property
     def configuration(self) -> records.Configuration | None:
-        """Return the configuration that is published."""
+        """Return the published configuration, None if there is none."""
         return self._configuration
 
     @property
     def targets(self) -> dict[str, records.Target]:
-        """Return the entries by identifier."""
+        """Return the registered targets by identifier."""
         return self._targets
 
     def _next_revision(self) -> int:
-        """Keep a copy of what is there, and return the next revision."""
+        """Save a snapshot, advance the revision and return it."""
         self._snapshots = [
             copy
             for copy in self._snapshots
@@ -86,15 +98,17 @@
         )
 
     def stop(self) -> None:
-        """Answer nobody any more."""
+        """Stop the store: waiting watches and later calls fail."""
         self.up = False
         self._answer_watches()
 
     def restore_older_copy(self, lost_s: float) -> None:
-        """Come back without what was written in the last seconds.
+        """Restart the store from a copy without the most recent writes.
+
+        The operator and the servers rewrite the lost changes; the entries of
+        servers that have stopped in the meantime expire.
 
-        The operator and the servers write it again; the entries of servers
-        that have gone meanwhile expire.
+        :param lost_s: seconds before now from which writes are lost.
         """
         since = self.world.now - lost_s
         lost = [copy for copy in self._snapshots if copy.at >= since]
@@ -115,7 +129,7 @@
         self.world.after(ENTRIES_EXPIRE_S, self._expire)
 
     def _restore(self, copy: _Snapshot) -> None:
-        """Take the content of a copy, under positions of a new era."""
+        """Restore the contents of a snapshot, as positions of a new era."""
         self._era += 1
         self.revision = self._in_current_era(copy.revision)
         if copy.configuration is not None:
@@ -132,7 +146,7 @@
         }
 
     def _in_current_era(self, position: int) -> int:
-        """Return a revision of the copy as a position of this era."""
+        """Return the position in this era of a revision of the snapshot."""
         return positions.make(self._era, positions.revision(position))
 
     def _operator_rewrites(
@@ -196,7 +210,7 @@
         self._answer_watches()
 
     def put(self, server: packet_server.Server) -> None:
-        """Write a server's entry."""
+        """Write the entry of a server."""
         self._next_revision()
         target = server.entry()._replace(revision=self.revision)
         self._targets[target.identifier] = target
@@ -204,14 +218,17 @@
         self._answer_watches()
 
     def remove(self, identifier: str) -> None:
-        """Remove an entry."""
+        """Remove the entry of a server."""
         self._next_revision()
         del self._targets[identifier]
         self._events.append(records.Removal(identifier, self.revision))
         self._answer_watches()
 
     def evacuate(self, data_centre: str, *, active: bool = True) -> None:
-        """Request that a data centre gets no new flows, or take it back."""
+        """Start or end the evacuation of a data centre.
+
+        An evacuated data centre gets no new flows.
+        """
         self._next_revision()
         item = records.Evacuation(data_centre, self.revision, active)
         self._evacuations.pop(data_centre, None)
@@ -221,7 +238,7 @@
         self._answer_watches()
 
     def discard_history(self) -> None:
-        """Make older revisions unavailable."""
+        """Discard the history: watches from older revisions fail."""
         self.oldest_revision = self.revision
         self._events.clear()
         self._answer_watches()
@@ -229,7 +246,10 @@
     def call(
         self, process: packet_world.Process, revision: int | None
     ) -> None:
-        """Take a call; it is answered later, or fails."""
+        """Handle a call of a process, and answer it or fail it later.
+
+        :param revision: watch for changes after it; None reads everything.
+        """
         self.calls += 1
         if not self.up or process.host in self.refused:
             self.world.after(
@@ -244,9 +264,11 @@
                 lambda: self._deliver(process, 'store_answered', changes),
             )
             return
-        self._watches.append((process, revision, self.world.now + 1.5))
+        self._watches.append(
+            (process, revision, self.world.now + WATCH_TIMEOUT_S)
+        )
         self.world.after(self.delay_s, self._answer_watches)
-        self.world.after(1.5 + self.delay_s, self._answer_watches)
+        self.world.after(WATCH_TIMEOUT_S + self.delay_s, self._answer_watches)
 
     def _deliver(
         self, process: packet_world.Process, method: str, *values: object
--- a/bench/packet_world.py
+++ b/bench/packet_world.py
@@ -1,9 +1,9 @@
-"""Play flows as packets in virtual time, with the real decisions.
+"""Simulate flows as packets in virtual time, with the real balancer and agent.
 
-A few fakes stand at the interfaces: a network with delays, cuts and losses, a
-store with a history, backend servers that take, return, drain and crash, a
-fabric that spreads flows over balancers, and callers. It checks nothing; it
-records what callers and servers saw.
+Fakes implement the interfaces: a network with delays, partitions and packet
+loss, a store with a history, backend servers that accept, return, drain and
+crash, a fabric that distributes flows over balancers, and callers. The model
+makes no assertions; it records what callers and servers receive.
 """
 
 from __future__ import annotations
@@ -28,42 +28,49 @@
 from teaseldock.packets import records
 from teaseldock.packets import reporting
 
-#: One way between processes, and to callers, seconds.
+#: One-way delay between processes, and between fabric and callers, seconds.
 HOP_S = 0.0007
 CALLER_HOP_S = 0.003
-#: Seconds between two ticks of a process, and two looks of the fabric.
+#: One-way delay between an agent and its server, seconds.
+SERVER_HOP_S = 0.0001
+#: Seconds between two ticks of a process, and between two of the fabric's
+#: readiness probes.
 TICK_S = 0.05
 FABRIC_PROBE_S = 0.5
-#: Seconds that a datagram waits at a link at the most; others are lost.
+#: Longest queueing delay of a link, seconds; it drops further datagrams.
 MAX_LINK_QUEUE_S = 1.0
-#: Bytes of headers of each datagram, and bits of a byte.
+#: Bytes of IP and UDP headers of each datagram, and bits per byte.
 HEADER_BYTES = 28
 BITS = 8
-#: Kinds of datagrams that carry packets of callers.
+#: Kinds of datagrams that carry packets of callers; they are not counted as
+#: control traffic.
 CALLER_PACKET_KINDS = (control.KIND_PACKET, control.KIND_RETURNED)
 SERVICE_HOST = bytes((198, 18, 0, 1))
 
 
 class RecordingReporter(reporting.Reporter):
-    """Keep the lines of all processes."""
+    """Record the log events of a process in the world."""
 
     def __init__(self, world: World, name: str) -> None:
-        """Write under a process's name."""
+        """Record events under a process's name."""
         self._world = world
         self._name = name
 
     def note(self, event: str, **fields: typing.Any) -> None:
-        """Keep one line."""
+        """Record one event with its time and process."""
         self._world.lines.append((self._world.now, self._name, event, fields))
 
 
 class Process(io_interface.IOInterface):
-    """One balancer or agent in the world."""
+    """One simulated balancer or agent process."""
 
     def __init__(
         self, world: World, host: str, server: packet_server.Server | None
     ) -> None:
-        """Start a process."""
+        """Start a process.
+
+        :param server: the server of an agent; None starts a balancer.
+        """
         self.world = world
         self.host = host
         self.server = server
@@ -102,7 +109,7 @@
     def handle_input(
         self, handle: typing.Callable[[], None], *, from_caller: bool = False
     ) -> None:
-        """Handle an input, or keep it in the socket while paused."""
+        """Handle an input, or buffer it while the process is paused."""
         if self.paused:
             self._pending_inputs.append((not from_caller, handle))
             return
@@ -110,54 +117,54 @@
         handle()
 
     def resume(self) -> None:
-        """End a pause; the socket of the callers is read first."""
+        """End a pause and handle buffered inputs, packets of callers first."""
         self.paused = False
-        held, self._pending_inputs = self._pending_inputs, []
-        for _, handle in sorted(held, key=lambda item: item[0]):
+        inputs, self._pending_inputs = self._pending_inputs, []
+        for _, handle in sorted(inputs, key=lambda item: item[0]):
             self.handle_input(handle)
 
     def to_process(self, host: str, datagram: bytes) -> None:
-        """Send to another process."""
+        """Send a datagram to another process."""
         self.world.send_datagram(self.host, host, datagram)
 
     def to_caller(self, item: packet.Packet) -> None:
-        """Send to a caller."""
+        """Send a packet to the caller of its flow."""
         self.world.to_caller(item)
 
     def to_server(self, item: packet.Packet, token: bytes) -> None:
-        """Give to the server."""
+        """Pass a packet to the backend server."""
         assert self.server is not None
         server = self.server
-        self.world.after(0.0001, lambda: server.receive(item, token))
+        self.world.after(SERVER_HOP_S, lambda: server.receive(item, token))
 
     def reset_caller(self, item: packet.Packet) -> None:
-        """Reset a flow."""
+        """Reset a flow towards its caller, and record the reset."""
         self.world.record_reset(item.flow)
         self.world.to_caller(
             packet_codec.make_packet(item.flow, resetting=True)
         )
 
     def read_packet(self, raw: bytes) -> packet.Packet:
-        """Decode."""
+        """Decode a packet."""
         return packet_codec.decode(raw)
 
     def original(self, item: packet.Packet) -> bytes:
-        """Encode as it was."""
+        """Encode a returned packet as its caller sent it."""
         return packet_codec.with_raw(
             item._replace(returned=False, token=bytes(4))
         ).raw
 
     def read_all(self) -> None:
-        """Read the store."""
+        """Read all entries of the store."""
         self.world.store.call(self, None)
 
     def watch(self, revision: int) -> None:
-        """Watch the store."""
+        """Wait for changes of the store after a revision."""
         self.world.store.call(self, revision)
 
 
 class World:
-    """Everything at one moment of virtual time."""
+    """A simulated network of processes, servers, callers and a store."""
 
     def __init__(
         self,
@@ -168,20 +175,23 @@
         link_mbps: float | None = None,
         in_force_s: float | None = None,
     ) -> None:
-        """Start a store and balancers; servers come by :meth:`add_server`.
+        """Start a store and balancers; :meth:`add_server` adds servers.
 
-        :param link_mbps: speed of the balancers' links; any if not given.
-        :param in_force_s: bound that processes are told; theirs if not given.
+        :param seeds: number of balancers that processes get as seeds.
+        :param link_mbps: speed of the balancers' links; unlimited if None.
+        :param in_force_s: seconds within which changes must be in force; the
+            processes' default if None.
         """
         self.now = 100.0
         self.link_mbps = link_mbps
         self.in_force_s = in_force_s
-        #: Speeds of single balancers' links; for those that start later.
+        #: Link speeds by balancer, which override ``link_mbps``. They must be
+        #: set before the balancer starts, which gets its speed as an option.
         self.links: dict[str, float] = {}
         self._link_free_at: collections.defaultdict[str, float] = (
             collections.defaultdict(float)
         )
-        #: Bytes of control by sender and second, headers included.
+        #: Bytes of control traffic by sender and second, headers included.
         self.control_bytes: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
@@ -205,29 +215,29 @@
             self.start(f'10.0.0.{index + 1}')
         self.after(0.0, self._probe_balancers)
 
-    def after(self, delay: float, what: typing.Callable[[], None]) -> None:
-        """Do something later."""
+    def after(self, delay: float, call: typing.Callable[[], None]) -> None:
+        """Schedule a call after a delay in seconds."""
         heapq.heappush(
-            self._events, (self.now + delay, next(self._order), what)
+            self._events, (self.now + delay, next(self._order), call)
         )
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run all events of the next seconds."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._events)
-            what()
+            self.now, _, call = heapq.heappop(self._events)
+            call()
         self.now = until
 
     def start(self, host: str) -> Process:
-        """Start, or start again, the process of a host."""
+        """Start or restart the process of a host."""
         self.kill(host)
         process = Process(self, host, self.servers.get(host))
         self.processes[host] = process
         return process
 
     def kill(self, host: str) -> None:
-        """End a process at once."""
+        """Kill the process of a host without shutdown."""
         process = self.processes.pop(host, None)
         if process is not None:
             process.alive = False
@@ -235,7 +245,7 @@
     def add_server(
         self, host: str, **options: typing.Any
     ) -> packet_server.Server:
-        """Start a server with its agent, and register it."""
+        """Start a server and its agent, and register the server."""
         server = self.servers[host] = packet_server.Server(
             self, host, **options
         )
@@ -244,11 +254,15 @@
         return server
 
     def balancers(self) -> list[Process]:
-        """Return the balancers that run."""
+        """Return the running balancers."""
         return [p for p in self.processes.values() if p.server is None]
 
     def _probe_balancers(self) -> None:
-        """Let the fabric ask who is ready; two misses take out."""
+        """Probe the readiness of all balancers.
+
+        The fabric sends no flows to a balancer that missed two probes in a
+        row, or that has not yet answered one.
+        """
         self.after(FABRIC_PROBE_S, self._probe_balancers)
         for process in self.balancers():
             ready = not process.paused and process.node.ready(self.now)
@@ -261,7 +275,10 @@
                 self._probe_misses[host] += 1
 
     def send_datagram(self, source: str, host: str, datagram: bytes) -> None:
-        """Carry a datagram between processes."""
+        """Send a datagram between processes.
+
+        The link, a partition or random loss may drop it.
+        """
         size = len(datagram) + HEADER_BYTES
         if datagram[1] not in CALLER_PACKET_KINDS:
             self.control_bytes[source, int(self.now)] += size
@@ -278,7 +295,10 @@
         )
 
     def _link_delay_s(self, source: str, size: int) -> float | None:
-        """Return how long a datagram takes at its link, None if it is lost."""
+        """Return the seconds that a datagram spends at its link.
+
+        :returns: None if the link drops it.
+        """
         speed = self.links.get(source, self.link_mbps)
         if speed is None or source in self.servers:
             return 0.0
@@ -300,7 +320,7 @@
             )
 
     def from_caller(self, item: packet.Packet) -> None:
-        """Let the fabric pass a caller's packet to a balancer."""
+        """Pass a caller's packet to the balancer that the fabric chooses."""
         hosts = [h for h, misses in self._probe_misses.items() if misses < 2]
         if not hosts:
             return
@@ -318,8 +338,8 @@
             )
 
     def from_server(self, host: str, item: packet.Packet) -> None:
-        """Give a server's packet to its agent."""
-        self.after(0.0001, lambda: self._deliver_to_agent(host, item))
+        """Pass a server's packet to its agent."""
+        self.after(SERVER_HOP_S, lambda: self._deliver_to_agent(host, item))
 
     def _deliver_to_agent(self, host: str, item: packet.Packet) -> None:
         process = self.processes.get(host)
@@ -329,7 +349,7 @@
             )
 
     def to_caller(self, item: packet.Packet) -> None:
-        """Carry a packet to its caller."""
+        """Send a packet to its caller."""
         self.after(CALLER_HOP_S, lambda: self._deliver_to_caller(item))
 
     def _deliver_to_caller(self, item: packet.Packet) -> None:
@@ -338,7 +358,11 @@
             request.receive(item)
 
     def record_reset(self, flow: bytes) -> None:
-        """Keep a reset of the system's own, and whether a server held it."""
+        """Record a reset that a balancer or agent sent.
+
+        The record tells whether the caller had opened the flow and a running
+        server still held it.
+        """
         held = any(
             flow in server.flows and server.up
             for server in self.servers.values()
@@ -347,7 +371,7 @@
         self.resets.append((self.now, flow, held and opened))
 
     def new_flow(self, request: packet_caller.Request) -> bytes:
-        """Return the key of a new flow to the service."""
+        """Register a new flow of a request and return its key."""
         port = next(self._ports)
         flow = (
             bytes((100, 64, 0, port % 250))
@@ -361,17 +385,17 @@
     def request(
         self, *, feed: bool = False, tries: int = 3
     ) -> packet_caller.Request:
-        """Let a caller begin a request on a new flow."""
+        """Start a request of a caller on a new flow."""
         request = packet_caller.Request(self, feed=feed, tries=tries)
         self.requests.append(request)
         return request
 
     def broken(self) -> list[tuple[float, bytes, bool]]:
-        """Return resets of open flows whose server still held them."""
+        """Return the resets of open flows that a server still held."""
         return [reset for reset in self.resets if reset[2]]
 
     def events(self, event: str) -> list[dict[str, typing.Any]]:
-        """Return the lines of an event."""
+        """Return the fields of all log records of an event."""
         return [line[3] for line in self.lines if line[2] == event]
 
 
@@ -382,7 +406,7 @@
     aim_ms: int = 150,
     priority: int = 1,
 ) -> records.Route:
-    """Return a route to one service, or to several with weights."""
+    """Return a route to one service, or to several weighted services."""
     choices = [
         records.ServiceChoice(*((item, 1) if isinstance(item, str) else item))
         for item in services
@@ -401,7 +425,7 @@
 def small_world(
     *, servers: int = 4, slots: int = 2, service_s: float = 0.03, **options
 ) -> World:
-    """Return a world with one service that has just got ready."""
+    """Return a world with one service, run until its servers are ready."""
     world = World(**options)
     world.store.configure(1, [route('dispatch')])
     for index in range(servers):
--- a/tests/packets/test_alerts.py
+++ b/tests/packets/test_alerts.py
@@ -344,7 +344,7 @@
     told all the same reads the store in time: what a process in touch can
     prove to know is never older than that.
     """
-    ages = packet_news.play(balancers, servers, link_mbps)
+    ages = packet_news.simulate(balancers, servers, link_mbps)
     assert ages.urgent_s <= ALERTS_S
     assert ages.bulk_s <= BULK_S
     assert ages.mean_bytes <= 10_000
