--- a/bench/packet_caller.py
+++ b/bench/packet_caller.py
@@ -1,4 +1,4 @@
-"""Fake a caller: requests with copies, repetitions and further tries."""
+"""Fake a caller whose requests are retransmitted and retried."""
 
 from __future__ import annotations
 
@@ -10,23 +10,33 @@
     from bench import packet_world
     from teaseldock.packets import packet
 
-#: Seconds after which a caller repeats an opening, and gives it up.
-OPENING_COPIES_S = (0.2, 0.6)
-OPENING_S = 1.4
-#: Seconds after which data without acknowledgement is repeated.
-REPEATS_S = (0.2, 0.6, 1.4, 3.0)
+#: Seconds after which a caller repeats an opening packet, and after which the
+#: opening times out.
+OPENING_REPEATS_S = (0.2, 0.6)
+OPENING_TIMEOUT_S = 1.4
+#: Seconds after which a caller repeats a request that is not acknowledged.
+DATA_REPEATS_S = (0.2, 0.6, 1.4, 3.0)
 
 
 class Request:
     """One request of a caller, over all its tries.
 
+    :ivar began: time at which the request began.
+    :ivar ended: time of its outcome.
     :ivar outcome: ``''`` while it runs, else ``answered`` or ``failed``.
+    :ivar feed: whether the flow stays open after the answer, and a reset of
+        the open flow leads to a further try; without it the request fails.
+    :ivar tries: number of flows that the caller may still open.
+    :ivar opened: whether the current flow is open.
+    :ivar sequence: number of the last request on the current flow.
+    :ivar server_sequence: initial sequence number of the server.
+    :ivar resets: number of resets that the caller has received.
     """
 
     def __init__(
         self, world: packet_world.World, *, feed: bool, tries: int
     ) -> None:
-        """Begin."""
+        """Open the first flow."""
         self.world = world
         self.began = world.now
         self.ended = 0.0
@@ -36,13 +46,13 @@
         self.flow = b''
         self.opened = False
         self.sequence = 0
-        self.start = 0
+        self.server_sequence = 0
         self.resets = 0
         self._open()
 
     @property
     def latency_s(self) -> float:
-        """Return how long the caller waited."""
+        """Return the seconds from the beginning to the outcome."""
         return self.ended - self.began
 
     def _open(self) -> None:
@@ -51,18 +61,22 @@
         self.opened = False
         flow = self.flow
         self._send(flow, opening=True)
-        for number, delay in enumerate(OPENING_COPIES_S, 1):
-            self.world.after(delay, lambda n=number: self._copy(flow, n))
-        self.world.after(OPENING_S, lambda: self._give_up(flow))
+        for number, delay in enumerate(OPENING_REPEATS_S, 1):
+            self.world.after(
+                delay, lambda n=number: self._repeat_opening(flow, n)
+            )
+        self.world.after(
+            OPENING_TIMEOUT_S, lambda: self._time_out_opening(flow)
+        )
 
     def _send(self, flow: bytes, **fields: typing.Any) -> None:
-        self.world.from_caller(packet_codec.made(flow, **fields))
+        self.world.from_caller(packet_codec.make_packet(flow, **fields))
 
-    def _copy(self, flow: bytes, number: int) -> None:
+    def _repeat_opening(self, flow: bytes, number: int) -> None:
         if flow == self.flow and not self.opened and not self.outcome:
             self._send(flow, opening=True, acknowledged=number)
 
-    def _give_up(self, flow: bytes) -> None:
+    def _time_out_opening(self, flow: bytes) -> None:
         if flow == self.flow and not self.opened:
             self._retry()
 
@@ -70,52 +84,54 @@
         if self.outcome:
             return
         if self.tries <= 0:
-            self._end('failed')
+            self._finish('failed')
             return
         self._open()
 
-    def _end(self, outcome: str) -> None:
+    def _finish(self, outcome: str) -> None:
         self.outcome = outcome
         self.ended = self.world.now
 
     def ask(self) -> None:
-        """Send the request over the open flow, until it is acknowledged."""
+        """Send a request over the open flow; repeat it until its outcome."""
         self.began = self.began if not self.outcome else self.world.now
         self.outcome = ''
         self.sequence += 1
         flow, sequence = self.flow, self.sequence
-        for delay in (0.0, *REPEATS_S):
-            self.world.after(delay, lambda: self._repeat(flow, sequence))
+        for delay in (0.0, *DATA_REPEATS_S):
+            self.world.after(delay, lambda: self._send_data(flow, sequence))
 
-    def _repeat(self, flow: bytes, sequence: int) -> None:
+    def _send_data(self, flow: bytes, sequence: int) -> None:
         if flow == self.flow and sequence == self.sequence:
             if not self.outcome:
                 self._send(
                     flow,
                     length=1,
                     sequence=sequence,
-                    acknowledged=self.start,
+                    acknowledged=self.server_sequence,
                 )
 
     def receive(self, item: packet.Packet) -> None:
-        """Take a packet that came to the caller."""
+        """Handle a packet that the caller receives."""
         if item.flow != self.flow or self.outcome:
             return
         if item.resetting:
             self.resets += 1
             if self.opened and not self.feed:
-                self._end('failed')
+                self._finish('failed')
                 return
             self._retry()
             return
         if item.accepting and not self.opened:
             self.opened = True
-            self.start = item.sequence
+            self.server_sequence = item.sequence
             self.sequence = 0
             self.ask()
         elif item.length and item.closing:
             self._retry()
         elif item.length and item.acknowledged == self.sequence:
-            self._end('answered')
+            self._finish('answered')
             if not self.feed:
-                self._send(self.flow, closing=True, acknowledged=self.start)
+                self._send(
+                    self.flow, closing=True, acknowledged=self.server_sequence
+                )
--- a/bench/packet_copies.py
+++ b/bench/packet_copies.py
@@ -1,7 +1,7 @@
-"""Measure how a fleet gets over a store that comes back from an older copy.
+"""Measure how a fleet recovers when the store restarts from an older copy.
 
-The load: the operator and the servers write all the time; the store is away
-for a moment and comes back without its last writes, beside 1,600 routes.
+The load: the operator and the servers write continuously, with 1,600 routes
+published. The store stops for a second and restarts without its last writes.
 
 ``python -m bench.packet_copies [BALANCERS SERVERS MBPS]``
 """
@@ -19,34 +19,36 @@
 #: Fleets by balancers, servers and speed of the balancers' links, Mbit/s.
 FLEETS = ((8, 18, 20.0), (20, 53, 20.0), (59, 136, 20.0), (59, 136, 200.0))
 ROUTES = 1600
-#: Writes a second, and seconds of them that are lost.
+#: Writes per second, and seconds of writes before the outage; the store loses
+#: the second half of them.
 WRITES_PER_S = 4.0
 LOST_S = 4.0
-AWAY_S = 1.0
-#: Seconds that are played after the return, and between two looks.
-LOOKED_S = 8.0
-LOOK_S = 0.05
+#: Seconds for which the store is down.
+OUTAGE_S = 1.0
+#: Seconds simulated after the restart, and between two checks.
+OBSERVED_S = 8.0
+CHECK_INTERVAL_S = 0.05
 
 
 class Recovery(typing.NamedTuple):
-    """What one play showed, after the store's return.
+    """Figures of one simulation, from the restart of the store.
 
-    :ivar read_s: seconds until all processes know the new history.
-    :ivar alike_s: seconds until all know exactly what the store holds.
-    :ivar calls: to the store in :data:`LOOKED_S`.
-    :ivar mean_bytes: control bytes a second and process meanwhile.
-    :ivar most_bytes: of the busiest second of any process.
+    :ivar read_s: seconds until all processes have read the new era.
+    :ivar converged_s: seconds until all processes match the store.
+    :ivar calls: calls to the store in :data:`OBSERVED_S`.
+    :ivar mean_bytes: mean control bytes per second and process.
+    :ivar most_bytes: control bytes of the busiest second of any process.
     """
 
     read_s: float
-    alike_s: float
+    converged_s: float
     calls: int
     mean_bytes: float
     most_bytes: int
 
 
 def routes(step: int) -> list[records.Route]:
-    """Return many routes, one of which changes with each step."""
+    """Return many routes, one of which differs in each step."""
     ports = [1000 + index for index in range(ROUTES)] + [5000 + step]
     return [
         packet_world.route('dispatch'),
@@ -54,8 +56,8 @@
     ]
 
 
-def is_alike(process: packet_world.Process) -> bool:
-    """Tell whether a process knows what the store holds, and nothing else."""
+def matches_store(process: packet_world.Process) -> bool:
+    """Return whether a process has exactly the state of the store."""
     store = process.world.store
     known = process.node.knowledge
     published = store.configuration
@@ -83,10 +85,10 @@
         world.run(LOST_S / steps)
 
 
-def play(
+def simulate(
     balancers: int, servers: int, link_mbps: float, *, seed: int = 1
 ) -> Recovery:
-    """Play one return."""
+    """Simulate one restart of the store from an older copy."""
     world = packet_world.small_world(
         balancers=balancers,
         servers=servers,
@@ -97,32 +99,32 @@
     world.store.configure(1 + 1, routes(0))
     world.run(6.0)
     _write(world)
-    world.store.go_away()
-    world.run(AWAY_S)
-    world.store.come_back(LOST_S / 2 + AWAY_S)
+    world.store.stop()
+    world.run(OUTAGE_S)
+    world.store.restore_older_copy(LOST_S / 2 + OUTAGE_S)
     since, calls = world.now, world.store.calls
     era = positions.era(world.store.revision)
-    read_s = alike_s = LOOKED_S
-    while world.now - since < LOOKED_S:
-        world.run(LOOK_S)
+    read_s = converged_s = OBSERVED_S
+    while world.now - since < OBSERVED_S:
+        world.run(CHECK_INTERVAL_S)
         processes = list(world.processes.values())
         eras = {positions.era(p.node.knowledge.revision) for p in processes}
         after_s = world.now - since
         if eras == {era}:
             read_s = min(read_s, after_s)
-        if not all(map(is_alike, processes)):
-            alike_s = LOOKED_S
-        elif alike_s == LOOKED_S:
-            alike_s = after_s
+        if not all(map(matches_store, processes)):
+            converged_s = OBSERVED_S
+        elif converged_s == OBSERVED_S:
+            converged_s = after_s
     spent = {
         key: size
         for key, size in world.control_bytes.items()
         if key[1] >= int(since)
     }
-    mean = sum(spent.values()) / LOOKED_S / len(world.processes)
+    mean = sum(spent.values()) / OBSERVED_S / len(world.processes)
     return Recovery(
         read_s,
-        alike_s,
+        converged_s,
         world.store.calls - calls,
         mean,
         max(spent.values()),
@@ -130,7 +132,7 @@
 
 
 def main() -> None:
-    """Print a table."""
+    """Print a table of the figures of each fleet."""
     fleets: typing.Iterable[tuple[int, int, float]] = FLEETS
     if len(sys.argv) > 3:
         fleets = ((int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3])),)
@@ -139,11 +141,12 @@
     )
     for balancers, servers, link_mbps in fleets:
         began = time.perf_counter()
-        found = play(balancers, servers, link_mbps)
+        found = simulate(balancers, servers, link_mbps)
         took_s = time.perf_counter() - began
         print(
             f'{balancers + servers:9d} {link_mbps:7.0f} {found.read_s:7.2f}'
-            f' {found.alike_s:8.2f} {found.calls:6d} {found.mean_bytes:8.0f}'
+            f' {found.converged_s:8.2f} {found.calls:6d}'
+            f' {found.mean_bytes:8.0f}'
             f' {found.most_bytes:8d} {took_s:7.1f}',
             flush=True,
         )
--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -1,4 +1,7 @@
-"""Measure what the packet family costs: ``python -m bench.packet_costs``."""
+"""Measure CPU time, memory and message sizes of the packet family.
+
+``python -m bench.packet_costs``
+"""
 
 from __future__ import annotations
 
@@ -22,20 +25,21 @@
 from teaseldock.packets import store_state
 from teaseldock.packets import tracking
 
+#: Calls per measured time, and flows per measured size.
 ROUNDS = 2000
 FLOWS = 20_000
 
 
-def seconds_each(what: typing.Callable[[int], object], rounds: int) -> float:
-    """Return the mean time of a call."""
+def mean_call_s(call: typing.Callable[[int], object], rounds: int) -> float:
+    """Return the mean time of a call, in seconds."""
     began = time.perf_counter()
     for number in range(rounds):
-        what(number)
+        call(number)
     return (time.perf_counter() - began) / rounds
 
 
-def bytes_each(make: typing.Callable[[int], object], count: int) -> float:
-    """Return the mean memory of what a call keeps."""
+def mean_kept_bytes(make: typing.Callable[[int], object], count: int) -> float:
+    """Return the mean memory that stays allocated after a call, in bytes."""
     tracemalloc.start()
     for number in range(count):
         make(number)
@@ -45,7 +49,7 @@
 
 
 def target(number: int) -> records.Target:
-    """Return a target."""
+    """Return the target with a number."""
     return records.Target(
         f'i-{number:010x}',
         'dispatch',
@@ -60,7 +64,7 @@
 
 
 def placement_us(targets: int) -> float:
-    """Return microseconds of placing a flow before one service's targets."""
+    """Return microseconds to place a flow on one of a service's targets."""
     known = knowledge.Knowledge()
     entries = [target(number) for number in range(targets)]
     configuration = records.Configuration(1, 1, 15_000, [], ['dispatch'])
@@ -73,16 +77,16 @@
     hint = hints.Hint('dispatch', hints.HintState.OPENING)
 
     def place(number: int) -> None:
-        seen = usable.for_new_flow(number.to_bytes(12, 'big'), hint, 0.1)
-        placing.pick(seen, data_centre='dc-0')
+        choices = usable.for_new_flow(number.to_bytes(12, 'big'), hint, 0.1)
+        placing.pick(choices, data_centre='dc-0')
 
     for number in range(ROUNDS):
         place(number)
-    return 1e6 * seconds_each(place, ROUNDS)
+    return 1e6 * mean_call_s(place, ROUNDS)
 
 
 def new_mesh() -> mesh.Mesh:
-    """Return what a balancer that has heard nobody knows of others."""
+    """Return the mesh of a balancer that has received no heartbeats."""
     return mesh.Mesh(
         '10.9.0.1',
         is_balancer=True,
@@ -93,7 +97,7 @@
 
 
 def changes_bytes(targets: int, routes: int) -> int:
-    """Return bytes of everything a process knows, as sent to a peer."""
+    """Return the bytes of a full set of changes as sent to a peer."""
     configuration = records.Configuration(
         7,
         9,
@@ -111,27 +115,27 @@
 
 
 def forwarding_us() -> float:
-    """Return microseconds of passing on a packet of a known flow."""
+    """Return microseconds to forward a packet of a known flow."""
     world = packet_world.small_world()
     feed = world.request(feed=True)
     world.run(1.0)
     process = next(p for p in world.balancers() if p.node.hinted_flows)
-    item = packet_codec.made(feed.flow, length=1, sequence=1)
+    item = packet_codec.make_packet(feed.flow, length=1, sequence=1)
     process.to_process = lambda host, datagram: None
-    return 1e6 * seconds_each(
+    return 1e6 * mean_call_s(
         lambda _: process.node.on_packet(item, world.now), ROUNDS
     )
 
 
 def flow(number: int) -> bytes:
-    """Return the key of a flow of one service address."""
+    """Return the key of a flow; all keys have the same service address."""
     return number.to_bytes(4, 'big') + bytes(8)
 
 
-def asked_whom_us(targets: int) -> float:
-    """Return microseconds of finding out who may hold a lost flow.
+def holder_lookup_us(targets: int) -> float:
+    """Return microseconds to list the hosts that may hold a lost flow.
 
-    :param targets: in all; one in fifty is of the flow's service.
+    :param targets: number of targets; the flow's service has one in fifty.
     """
     known = knowledge.Knowledge()
     processes = new_mesh()
@@ -157,14 +161,14 @@
     hint = hints.Hint('service-0', hints.HintState.SEARCHED)
     hosts = usable.holders(flow(1), hint, 0.1)
     assert len(hosts) == -(-targets // 50)
-    return 1e6 * seconds_each(
+    return 1e6 * mean_call_s(
         lambda number: usable.holders(flow(number), hint, 0.1), 200
     )
 
 
 def main() -> None:
-    """Print all figures as one JSON object."""
-    remembered = hints.Hints()
+    """Print all figures as a JSON object."""
+    hint_table = hints.Hints()
     tracker = tracking.Tracker(0.0)
     heartbeat = control.Heartbeat(
         False,
@@ -185,20 +189,22 @@
         },
         'forwarding_us': round(forwarding_us(), 1),
         'bytes_a_hint': round(
-            bytes_each(
-                lambda n: remembered.add(
+            mean_kept_bytes(
+                lambda n: hint_table.add(
                     n.to_bytes(12, 'big'), 'dispatch', hints.HintState.HINTED
                 ),
                 FLOWS,
             )
         ),
         'bytes_a_tracked_flow': round(
-            bytes_each(
+            mean_kept_bytes(
                 lambda n: tracker._add_flow(flow(n), 0.0, 0.0),
                 tracking.FLOWS_TRACKED,
             )
         ),
-        'asked_whom_us': {n: round(asked_whom_us(n)) for n in (50, 200, 1000)},
+        'asked_whom_us': {
+            n: round(holder_lookup_us(n)) for n in (50, 200, 1000)
+        },
         'heartbeat_bytes': len(control.pack_heartbeat(heartbeat)),
         'changes_bytes': {
             f'{targets} targets, {routes} routes': changes_bytes(
--- a/bench/packet_news.py
+++ b/bench/packet_news.py
@@ -1,9 +1,10 @@
-"""Measure how long it takes until processes know what a promise hangs on.
+"""Measure how long urgent changes take to reach all processes.
 
-A server leaves or is gone, a data centre is emptied, a route is dropped: each
-must be known at every process within seconds, whatever else is told at that
-moment. The load: 64 servers of a release that warm up, callers that open
-flows, 1,600 new routes, and processes that freeze, are cut off, or restart.
+A server leaves or is removed, a data centre is evacuated, a route is dropped:
+each change must reach every process within seconds, whatever other changes
+are distributed at that moment. The load: 64 servers of a release that warm up,
+callers that open flows, 1,600 new routes, and processes that freeze, are
+refused by the store, or restart.
 
 ``python -m bench.packet_news [BALANCERS SERVERS MBPS]``
 """
@@ -18,43 +19,49 @@
 
 from bench import packet_world
 
-#: Fleets by balancers and servers that are played by default.
-SIZES = ((8, 18), (20, 53), (59, 136))
-#: Speeds of the balancers' links, megabits a second.
+#: Default fleets: numbers of balancers and servers.
+FLEETS = ((8, 18), (20, 53), (59, 136))
+#: Speeds of the balancers' links, Mbit/s.
 SPEEDS = (2.0, 20.0, 200.0)
+#: Routes published, and how many of them are dropped again.
 ROUTES = 1600
-DROPPED = 20
-#: Seconds between two looks at what processes know.
-LOOK_S = 0.05
-#: Seconds after the end of its trouble in which a process isn't judged.
-TOUCH_S = 4.0
-#: Seconds in which what is in force is looked at after it was published.
-LONGEST_S = 15.0
-#: Seconds by which a process's own count of an age may be behind: a tick.
-PROOF_MARGIN_S = LOOK_S + packet_world.TICK_S
-#: Seconds between two entries of a server that warms up, and how often.
+DROPPED_ROUTES = 20
+#: Seconds between two checks of the processes' state.
+CHECK_INTERVAL_S = 0.05
+#: Seconds after the end of a disruption for which a process is not measured.
+DISRUPTION_GRACE_S = 4.0
+#: Seconds for which a change is tracked after it was published.
+MAX_TRACKED_S = 15.0
+#: Seconds by which the age that a process computes may lag behind: a process
+#: updates it once per tick, and it is compared once per check.
+PROOF_MARGIN_S = CHECK_INTERVAL_S + packet_world.TICK_S
+#: Seconds between two entries of a server that warms up, and their number.
 WARMUP_STEP_S = 1.0
 WARMUP_STEPS = 3
-RELEASED = 64
+#: Servers that a release replaces, and seconds between two of them.
+RELEASED_SERVERS = 64
 RELEASE_GAP_S = 0.1
 
-Known = typing.Callable[[packet_world.Process], bool]
+AppliedCheck = typing.Callable[[packet_world.Process], bool]
 
 
-class Ages(typing.NamedTuple):
-    """What one play showed.
+class PropagationAges(typing.NamedTuple):
+    """Figures of one simulation.
 
-    :ivar urgent_s: the longest time until a process in touch knew something
-        that a promise hangs on.
-    :ivar bulk_s: the same for routes that are new.
-    :ivar mean_bytes: control bytes a second and process, in the mean.
-    :ivar most_bytes: of the busiest second of any process.
-    :ivar proof_s: the greatest age of an alert that a process in touch, which
-        the store doesn't turn away, might not have known while it didn't ask
-        the store.
-    :ivar calls: to the store, of all processes.
-    :ivar unproven: how often a process lacked an alert that was older than its
-        proof: nothing may ever be counted here.
+    Ages are measured only at processes that are not disrupted.
+
+    :ivar urgent_s: longest time until a process applied an urgent change, one
+        on which a guarantee depends.
+    :ivar bulk_s: longest time until a process applied new routes or the end
+        of an evacuation.
+    :ivar mean_bytes: mean control bytes per second and process.
+    :ivar most_bytes: control bytes of the busiest second of any process.
+    :ivar proof_s: greatest age of an alert that a process might lack, among
+        processes that the store does not refuse and that have no call to the
+        store in progress.
+    :ivar calls: calls to the store by all processes.
+    :ivar unproven: number of checks in which a process lacked an alert that
+        was older than its proof; must be 0.
     """
 
     urgent_s: float
@@ -66,20 +73,22 @@
     unproven: int
 
 
-class _Item(typing.NamedTuple):
+class _TrackedChange(typing.NamedTuple):
+    """A published change and the hosts that have not yet applied it."""
+
     at: float
     urgent: bool
-    known: Known
+    is_applied: AppliedCheck
     waiting: set[str]
 
 
 class Play:
-    """One fleet under load and trouble, and how old its knowledge gets."""
+    """A simulated fleet under load and disruptions, and its figures."""
 
     def __init__(
         self, balancers: int, servers: int, link_mbps: float, *, seed: int = 1
     ) -> None:
-        """Start a fleet that has just got ready."""
+        """Start a fleet and run it until its servers are ready."""
         self.world = packet_world.small_world(
             balancers=balancers,
             servers=servers,
@@ -89,46 +98,51 @@
         )
         self._random = random.Random(seed)
         self._version = 1
-        self._items: list[_Item] = []
-        self._troubled: dict[str, float] = {}
+        self._tracked_changes: list[_TrackedChange] = []
+        self._disrupted_until: dict[str, float] = {}
         self._longest = {True: 0.0, False: 0.0}
-        self._refused: dict[str, float] = {}
+        self._refused_until: dict[str, float] = {}
         self._oldest_proof_s = 0.0
         self._unproven = 0
         self._added = 0
         self._calls_before = self._calls()
-        self.world.after(0.0, self._look)
+        self.world.after(0.0, self._check_changes)
 
-    def _look(self) -> None:
-        self.world.after(LOOK_S, self._look)
+    def _check_changes(self) -> None:
+        self.world.after(CHECK_INTERVAL_S, self._check_changes)
         now = self.world.now
-        self._look_at_proofs(now)
-        for item in self._items:
+        self._check_proof_ages(now)
+        for item in self._tracked_changes:
             for host in list(item.waiting):
                 process = self.world.processes.get(host)
-                if process is None or self._is_troubled(host, item.at):
+                if process is None or self._is_disrupted(host, item.at):
                     item.waiting.discard(host)
                     continue
-                if item.known(process):
+                if item.is_applied(process):
                     item.waiting.discard(host)
-                    self._note(item, now)
+                    self._record_age(item, now)
                 elif item.urgent:
                     proof_s = process.node.alerts_age_s + PROOF_MARGIN_S
                     self._unproven += now - item.at > proof_s
-        overdue = [i for i in self._items if now - i.at > LONGEST_S]
+        overdue = [
+            i for i in self._tracked_changes if now - i.at > MAX_TRACKED_S
+        ]
         for item in overdue:
-            self._items.remove(item)
+            self._tracked_changes.remove(item)
             if item.waiting:
-                self._note(item, now)
+                self._record_age(item, now)
 
-    def _look_at_proofs(self, now: float) -> None:
+    def _check_proof_ages(self, now: float) -> None:
         for host, process in self.world.processes.items():
-            refused_until = self._refused.get(host, 0.0) + TOUCH_S
-            if self._is_troubled(host, now) or refused_until > now:
+            refused_until = (
+                self._refused_until.get(host, 0.0) + DISRUPTION_GRACE_S
+            )
+            if self._is_disrupted(host, now) or refused_until > now:
                 continue
             if process.node._reading.calling:
-                # It hears of any change at once; it has no proof until the
-                # store has answered that there is none.
+                # While a process waits for the store, it receives any change
+                # at once. Its proof is renewed only when the store answers
+                # that there is none.
                 continue
             age_s = process.node.alerts_age_s
             self._oldest_proof_s = max(self._oldest_proof_s, age_s)
@@ -136,25 +150,31 @@
     def _calls(self) -> int:
         return self.world.store.calls
 
-    def _note(self, item: _Item, now: float) -> None:
+    def _record_age(self, item: _TrackedChange, now: float) -> None:
         age_s = now - item.at
         self._longest[item.urgent] = max(self._longest[item.urgent], age_s)
 
-    def _is_troubled(self, host: str, since: float) -> bool:
-        return self._troubled.get(host, -TOUCH_S) + TOUCH_S > since
+    def _is_disrupted(self, host: str, since: float) -> bool:
+        return (
+            self._disrupted_until.get(host, -DISRUPTION_GRACE_S)
+            + DISRUPTION_GRACE_S
+            > since
+        )
 
-    def expect(self, known: Known, *, urgent: bool) -> None:
-        """Look when each process in touch knows something."""
+    def track_change(self, is_applied: AppliedCheck, *, urgent: bool) -> None:
+        """Measure when each process has applied a change."""
         hosts = set(self.world.processes)
-        self._items.append(_Item(self.world.now, urgent, known, hosts))
+        self._tracked_changes.append(
+            _TrackedChange(self.world.now, urgent, is_applied, hosts)
+        )
 
-    def trouble(self, hosts: list[str], seconds: float) -> None:
-        """Note that processes are out of touch for some seconds."""
+    def mark_disrupted(self, hosts: list[str], seconds: float) -> None:
+        """Exclude processes from the figures while they are disrupted."""
         for host in hosts:
-            self._troubled[host] = self.world.now + seconds
+            self._disrupted_until[host] = self.world.now + seconds
 
     def drain(self, host: str) -> None:
-        """Let a server say that it leaves, unless it has."""
+        """Drain a server and remove it, unless it already drains."""
         server = self.world.servers[host]
         if server.draining:
             return
@@ -162,22 +182,22 @@
         server.draining = True
         self.world.store.put(server)
 
-        def known(process: packet_world.Process) -> bool:
+        def is_applied(process: packet_world.Process) -> bool:
             target = process.node.knowledge.targets.get(name)
             return target is None or target.draining
 
-        self.expect(known, urgent=True)
+        self.track_change(is_applied, urgent=True)
         self.world.after(3.0, lambda: self._remove(name))
 
     def _remove(self, name: str) -> None:
         self.world.store.remove(name)
-        self.expect(
+        self.track_change(
             lambda process: name not in process.node.knowledge.targets,
             urgent=True,
         )
 
     def add(self, host: str) -> None:
-        """Start a server, which warms up."""
+        """Start a server that warms up."""
         self.world.add_server(
             host, service='dispatch', slots=1, service_s=0.03
         )
@@ -194,44 +214,44 @@
             self.world.store.put(server)
 
     def routes(self, *, many: bool) -> None:
-        """Publish many routes, or drop some of them again."""
+        """Publish all routes, or drop the first few of them."""
         self._version += 1
         version = self._version
-        first = 0 if many else DROPPED
+        first = 0 if many else DROPPED_ROUTES
         routes = [packet_world.route('dispatch')] + [
             packet_world.route('dispatch', port=1000 + index)
             for index in range(first, ROUTES)
         ]
         self.world.store.configure(version, routes)
-        last = packet_world.route('dispatch', port=1000).address
+        checked = packet_world.route('dispatch', port=1000).address
 
-        def known(process: packet_world.Process) -> bool:
-            held = process.node.knowledge
-            if held.version > version:
-                # A later one, which may have the route again or not.
+        def is_applied(process: packet_world.Process) -> bool:
+            known = process.node.knowledge
+            if known.version > version:
+                # A later version may have the route or not.
                 return True
-            return (held.route(last) is not None) is many
+            return (known.route(checked) is not None) is many
 
-        self.expect(known, urgent=not many)
+        self.track_change(is_applied, urgent=not many)
 
     def evacuate(self, *, active: bool) -> None:
-        """Empty a data centre, or take it back."""
+        """Start or end the evacuation of a data centre."""
         self.world.store.evacuate('elsewhere', active=active)
 
-        def known(process: packet_world.Process) -> bool:
+        def is_applied(process: packet_world.Process) -> bool:
             evacuated = process.node.knowledge.evacuated
             return ('elsewhere' in evacuated) is active
 
-        self.expect(known, urgent=active)
+        self.track_change(is_applied, urgent=active)
 
     def release(self) -> None:
-        """Replace servers one after the other."""
+        """Replace servers one after the other, as a rolling release does."""
         serving = [
             host
             for host, server in self.world.servers.items()
             if not server.draining
         ]
-        old = sorted(serving)[:RELEASED]
+        old = sorted(serving)[:RELEASED_SERVERS]
         for index, host in enumerate(old):
             at = index * RELEASE_GAP_S
             self._added += 1
@@ -240,31 +260,33 @@
             self.world.after(at + 1.0, lambda old=host: self.drain(old))
 
     def freeze(self, seconds: float) -> None:
-        """Let a third of the processes stand still."""
+        """Pause a third of the processes."""
         hosts = sorted(self.world.processes)[::3]
-        self.trouble(hosts, seconds)
+        self.mark_disrupted(hosts, seconds)
         for host in hosts:
             self.world.processes[host].paused = True
-        self.world.after(seconds, lambda: self._wake(hosts))
+        self.world.after(seconds, lambda: self._resume(hosts))
 
-    def _wake(self, hosts: list[str]) -> None:
+    def _resume(self, hosts: list[str]) -> None:
         for host in hosts:
             process = self.world.processes.get(host)
             if process is not None:
-                process.wake()
+                process.resume()
 
     def refuse(self, seconds: float) -> None:
-        """Let the store turn a third of the processes away."""
+        """Let the store refuse the calls of a third of the processes."""
         hosts = sorted(self.world.processes)[1::3]
-        self._refused.update(dict.fromkeys(hosts, self.world.now + seconds))
+        self._refused_until.update(
+            dict.fromkeys(hosts, self.world.now + seconds)
+        )
         self.world.store.refused.update(hosts)
-        self.world.store._wake()
+        self.world.store._answer_watches()
         self.world.after(
             seconds, lambda: self.world.store.refused.difference_update(hosts)
         )
 
     def kill_readers(self) -> None:
-        """Restart all that read the store."""
+        """Restart all processes that read the store."""
         hosts = [
             host
             for host, process in self.world.processes.items()
@@ -273,20 +295,23 @@
         self.restart(hosts)
 
     def restart(self, hosts: list[str]) -> None:
-        """Start processes anew."""
-        self.trouble(hosts, 0.0)
+        """Restart processes without their state."""
+        self.mark_disrupted(hosts, 0.0)
         for host in hosts:
             self.world.start(host)
 
     def call(self, per_s: float, seconds: float) -> None:
-        """Let callers open flows."""
+        """Let callers open flows at random times, at a mean rate."""
         at = 0.0
         while at < seconds:
             at += self._random.expovariate(per_s)
             self.world.after(at, lambda: self.world.request(tries=1))
 
-    def result(self, since: float) -> Ages:
-        """Return what was seen after a moment."""
+    def result(self, since: float) -> PropagationAges:
+        """Return the figures.
+
+        :param since: time from which control bytes are counted.
+        """
         world = self.world
         spent: collections.Counter[int] = collections.Counter()
         most = 0
@@ -296,7 +321,7 @@
                 most = max(most, size)
         seconds = max(1.0, world.now - since)
         mean = sum(spent.values()) / seconds / len(world.processes)
-        return Ages(
+        return PropagationAges(
             self._longest[True],
             self._longest[False],
             mean,
@@ -307,38 +332,38 @@
         )
 
 
-def play(
+def simulate(
     balancers: int, servers: int, link_mbps: float, *, seed: int = 1
-) -> Ages:
-    """Play all troubles at once, and in a row."""
-    game = Play(balancers, servers, link_mbps, seed=seed)
-    world = game.world
+) -> PropagationAges:
+    """Simulate all disruptions, overlapping and in sequence."""
+    simulation = Play(balancers, servers, link_mbps, seed=seed)
+    world = simulation.world
     since = world.now
-    game.call(3.0 * servers, 14.0)
-    game.release()
+    simulation.call(3.0 * servers, 14.0)
+    simulation.release()
     world.run(1.0)
-    game.refuse(9.0)
+    simulation.refuse(9.0)
     world.run(1.0)
-    game.routes(many=True)
+    simulation.routes(many=True)
     world.run(0.3)
-    game.evacuate(active=True)
-    game.freeze(2.5)
+    simulation.evacuate(active=True)
+    simulation.freeze(2.5)
     for _ in range(3):
         world.run(0.7)
-        game.kill_readers()
+        simulation.kill_readers()
     world.run(1.0)
-    game.routes(many=False)
-    game.restart(sorted(world.processes)[::2])
+    simulation.routes(many=False)
+    simulation.restart(sorted(world.processes)[::2])
     world.run(1.0)
-    game.routes(many=True)
-    game.evacuate(active=False)
+    simulation.routes(many=True)
+    simulation.evacuate(active=False)
     world.run(7.0)
-    return game.result(since)
+    return simulation.result(since)
 
 
 def main() -> None:
-    """Print a table of ages."""
-    sizes = SIZES
+    """Print a table of the figures of each fleet and link speed."""
+    sizes = FLEETS
     speeds: tuple[float, ...] = SPEEDS
     if len(sys.argv) > 3:
         sizes = ((int(sys.argv[1]), int(sys.argv[2])),)
@@ -350,7 +375,7 @@
     for balancers, servers in sizes:
         for speed in speeds:
             began = time.perf_counter()
-            ages = play(balancers, servers, speed)
+            ages = simulate(balancers, servers, speed)
             took_s = time.perf_counter() - began
             print(
                 f'{balancers + servers:9d} {speed:7.0f} {ages.urgent_s:9.2f}'
--- a/bench/packet_server.py
+++ b/bench/packet_server.py
@@ -1,4 +1,4 @@
-"""Fake a backend server: it takes flows and runs requests in order."""
+"""Fake a backend server that accepts flows and runs requests in order."""
 
 from __future__ import annotations
 
@@ -13,7 +13,20 @@
 
 
 class Server:
-    """A backend server: it takes flows and runs requests in order."""
+    """A backend server that accepts flows and runs requests in order.
+
+    :ivar run: number of the current run, part of the identifier.
+    :ivar born_ms: start time of the current run.
+    :ivar up: whether the server runs.
+    :ivar silent: whether it ignores all packets.
+    :ivar fails: whether it resets the flow of each request.
+    :ivar resets_unknown_flows: whether it resets flows that it does not hold;
+        otherwise it returns their packets.
+    :ivar flows: flows that it holds.
+    :ivar ended: flows that it has closed because they were idle.
+    :ivar ran: time, flow and sequence of each request that it has started.
+    :ivar opened: time and flow of each opening that it has received.
+    """
 
     def __init__(
         self,
@@ -26,7 +39,11 @@
         queue: int = 16,
         data_centre: str = 'dc',
     ) -> None:
-        """Start ready and empty."""
+        """Create a running server without flows.
+
+        :param service_s: mean seconds to run a request.
+        :param queue: number of requests that may wait for a slot.
+        """
         self.world = world
         self.host = host
         self.service = service
@@ -40,7 +57,7 @@
         self.up = True
         self.silent = False
         self.fails = False
-        self.resets_unknown = False
+        self.resets_unknown_flows = False
         self.draining = False
         self.flows: set[bytes] = set()
         self.ended: set[bytes] = set()
@@ -48,16 +65,16 @@
         self.opened: list[tuple[float, bytes]] = []
         self._busy = 0
         self._queue: list[tuple[bytes, int]] = []
-        self._sent: dict[bytes, int] = {}
-        self._starts: dict[bytes, int] = {}
+        self._next_sequences: dict[bytes, int] = {}
+        self._initial_sequences: dict[bytes, int] = {}
 
     @property
     def identifier(self) -> str:
-        """Return the id of the present run."""
+        """Return the identifier of the current run."""
         return f'i-{self.host}-{self.run}'
 
     def entry(self) -> records.Target:
-        """Return what it registers."""
+        """Return the entry that the server registers."""
         return records.Target(
             self.identifier,
             self.service,
@@ -71,23 +88,31 @@
             self.born_ms,
         )
 
-    def crash(self, *, keeps_identifier: bool = False) -> None:
-        """Lose everything; the next run begins when it is up again."""
+    def crash(self, *, keep_identifier: bool = False) -> None:
+        """Crash and lose all flows and requests.
+
+        The next run begins when ``up`` is set again.
+
+        :param keep_identifier: whether it has the same identifier then.
+        """
         self.up = False
         self.born_ms += 1000
-        if not keeps_identifier:
+        if not keep_identifier:
             self.run += 1
         self.flows.clear()
         self._queue.clear()
         self._busy = 0
 
-    def end_idle(self, flow: bytes) -> None:
-        """Close a flow that has been idle; its caller does not know yet."""
+    def close_idle(self, flow: bytes) -> None:
+        """Close an idle flow, before the caller has noticed."""
         self.ended.add(flow)
-        self._say(flow, refused=True)
+        self._send(flow, refused=True)
 
-    def take(self, item: packet.Packet, token: bytes) -> None:
-        """Handle a packet that its agent gives it."""
+    def receive(self, item: packet.Packet, token: bytes) -> None:
+        """Handle a packet that the agent passes on.
+
+        :param token: returned with a packet of a flow that it does not hold.
+        """
         if not self.up or self.silent:
             return
         if item.opening:
@@ -95,17 +120,19 @@
             if item.flow not in self.flows:
                 self.flows.add(item.flow)
                 start = self.world.random.randrange(1 << 32)
-                self._starts[item.flow] = self._sent[item.flow] = start
-            self._say(item.flow, opening=True, accepting=True)
+                self._initial_sequences[item.flow] = self._next_sequences[
+                    item.flow
+                ] = start
+            self._send(item.flow, opening=True, accepting=True)
             return
         if item.flow in self.ended:
             if item.length:
                 self.flows.discard(item.flow)
-                self._say(item.flow, resetting=True)
+                self._send(item.flow, resetting=True)
             return
-        if item.flow not in self.flows and self.resets_unknown:
-            self._sent[item.flow] = item.acknowledged
-            self._say(item.flow, resetting=True)
+        if item.flow not in self.flows and self.resets_unknown_flows:
+            self._next_sequences[item.flow] = item.acknowledged
+            self._send(item.flow, resetting=True)
             return
         if item.flow not in self.flows:
             self.world.from_server(
@@ -115,53 +142,56 @@
         if item.resetting or item.closing:
             self.flows.discard(item.flow)
             return
-        if item.acknowledged != self._starts[item.flow]:
-            # The caller took another server's answer.
+        if item.acknowledged != self._initial_sequences[item.flow]:
+            # The caller accepted the opening answer of another server.
             self.flows.discard(item.flow)
-            self._say(item.flow, resetting=True)
+            self._send(item.flow, resetting=True)
             return
         if item.length:
-            self._request(item.flow, item.sequence)
+            self._accept_request(item.flow, item.sequence)
 
-    def _request(self, flow: bytes, sequence: int) -> None:
+    def _accept_request(self, flow: bytes, sequence: int) -> None:
         if self.fails:
             self.flows.discard(flow)
-            self._say(flow, resetting=True)
+            self._send(flow, resetting=True)
             return
         if any(done[1:] == (flow, sequence) for done in self.ran):
             return
         if (flow, sequence) in self._queue:
             return
         if self._busy < self.slots:
-            self._begin(flow, sequence)
+            self._start_request(flow, sequence)
         elif len(self._queue) < self.queue_limit:
             self._queue.append((flow, sequence))
         else:
-            self._say(flow, length=1, acknowledged=sequence, refused=True)
+            self._send(flow, length=1, acknowledged=sequence, refused=True)
 
-    def _begin(self, flow: bytes, sequence: int) -> None:
+    def _start_request(self, flow: bytes, sequence: int) -> None:
         self._busy += 1
         self.ran.append((self.world.now, flow, sequence))
         born_ms = self.born_ms
         spread = self.world.random.uniform(0.6, 1.4)
         self.world.after(
-            self.service_s * spread, lambda: self._end(flow, sequence, born_ms)
+            self.service_s * spread,
+            lambda: self._finish_request(flow, sequence, born_ms),
         )
 
-    def _end(self, flow: bytes, sequence: int, born_ms: int) -> None:
+    def _finish_request(
+        self, flow: bytes, sequence: int, born_ms: int
+    ) -> None:
         if born_ms != self.born_ms:
             return
         self._busy -= 1
-        self._say(flow, length=100, acknowledged=sequence)
+        self._send(flow, length=100, acknowledged=sequence)
         if self._queue:
-            self._begin(*self._queue.pop(0))
+            self._start_request(*self._queue.pop(0))
 
-    def _say(self, flow: bytes, *, refused: bool = False, **fields) -> None:
-        sequence = self._sent.get(flow, 0)
-        self._sent[flow] = sequence + fields.get('length', 0)
+    def _send(self, flow: bytes, *, refused: bool = False, **fields) -> None:
+        sequence = self._next_sequences.get(flow, 0)
+        self._next_sequences[flow] = sequence + fields.get('length', 0)
         self.world.from_server(
             self.host,
-            packet_codec.made(
+            packet_codec.make_packet(
                 flow, closing=refused, sequence=sequence, **fields
             ),
         )
