--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -195,7 +195,7 @@
         'bytes_a_tracked_flow': round(
             bytes_each(
                 lambda n: tracker._add_flow(flow(n), 0.0, 0.0),
-                tracking.FLOWS_TRACKED,
+                tracking.MAX_FLOWS,
             )
         ),
         'asked_whom_us': {n: round(asked_whom_us(n)) for n in (50, 200, 1000)},
--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -23,13 +23,13 @@
 
 #: Terms of requests without a known route: an agent that has no configuration
 #: yet must not delay requests for long.
-UNKNOWN_TERMS = dispatching.Terms(0.15, 2.5, 0, guarded=False)
+DEFAULT_TERMS = dispatching.Terms(0.15, 2.5, 0, guarded=False)
 #: Share of failed requests above which the server is logged as failing: two
 #: consecutive failures.
-FAILING_NOTED = 0.35
+FAILING_THRESHOLD = 0.35
 #: Slots assumed before the server's entry is known: every server can run one
 #: request at a time.
-UNKNOWN_SLOTS = 1
+DEFAULT_SLOTS = 1
 
 ToServer = typing.Callable[['packet.Packet', str], None]
 Inputs = typing.Callable[[], dict[str, typing.Any]]
@@ -67,7 +67,7 @@
         self._queue = dispatching.RequestQueue()
         self._outcomes = outcomes.Outcomes(now)
         self._reported_failing = False
-        self._slots = UNKNOWN_SLOTS
+        self._slots = DEFAULT_SLOTS
 
     @property
     def queue(self) -> dispatching.RequestQueue:
@@ -142,7 +142,10 @@
         left = self._warming.requests_left(now)
         if left is None:
             return self._slots
-        return min(self._slots, self._queue.running + left - dispatching.AHEAD)
+        return min(
+            self._slots,
+            self._queue.running + left - dispatching.EXTRA_REQUESTS,
+        )
 
     def _terms(self, flow: bytes) -> dispatching.Terms | None:
         """Return the terms of a flow's requests; None for uploads.
@@ -152,7 +155,7 @@
         """
         route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None:
-            return UNKNOWN_TERMS
+            return DEFAULT_TERMS
         if route.kind == records.RequestKind.UPLOAD:
             return None
         return dispatching.Terms(
@@ -253,9 +256,9 @@
 
     def _note_failing_change(self, now: float) -> None:
         failing = self.failing(now)
-        if (failing > FAILING_NOTED) == self._reported_failing:
+        if (failing > FAILING_THRESHOLD) == self._reported_failing:
             return
-        self._reported_failing = failing > FAILING_NOTED
+        self._reported_failing = failing > FAILING_THRESHOLD
         self._reporter.note(
             (
                 'server fails requests'
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -25,15 +25,15 @@
     from teaseldock.packets import records
 
 #: Seconds between two searches for tracked flows that have expired.
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 #: Minimum idle timeout of an open flow, in seconds: the users' requirements
 #: state 15. An agent that has run for longer has seen a packet of every flow.
-FLOW_IDLE_S = 15.0
+MIN_IDLE_TIMEOUT_S = 15.0
 #: If the store still returns the previous run of the server this many seconds
 #: after the agent's start, the next run started after the agent: a server
 #: writes its first entry within one heartbeat of 1.2 s, and a change reaches
 #: all processes in 1.3 s, including one retransmission.
-RUN_CONFIRMED_S = 3.0
+RUN_CONFIRMATION_S = 3.0
 _NO_TOKEN = bytes(4)
 
 
@@ -203,7 +203,7 @@
         the entry of the previous run first. Without this check it would
         answer that live flows are not held.
         """
-        seen = self._store.confirmed_after(self._began + RUN_CONFIRMED_S)
+        seen = self._store.confirmed_after(self._began + RUN_CONFIRMATION_S)
         self._saw_server_start = self._saw_server_start or seen
         self._reporter.note(
             'server restarted',
@@ -237,8 +237,8 @@
         """
         configuration = self._knowledge.configuration
         if configuration is None:
-            return FLOW_IDLE_S
-        return max(FLOW_IDLE_S, configuration.idle_timeout_ms / 1000)
+            return MIN_IDLE_TIMEOUT_S
+        return max(MIN_IDLE_TIMEOUT_S, configuration.idle_timeout_ms / 1000)
 
     def tick(self, now: float) -> None:
         """Run the periodic tasks that are due."""
@@ -246,7 +246,7 @@
         self._admission.tick(now)
         self._relay.tick(now)
         if now >= self._sweep_at:
-            self._sweep_at = now + SWEEP_S
+            self._sweep_at = now + SWEEP_INTERVAL_S
             self._tracker.sweep(now, idle_s=self._idle_s())
 
     def _heartbeat(self, now: float) -> control.Heartbeat:
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -31,8 +31,8 @@
 #: Seconds without a heartbeat of any agent after which some agents are
 #: queried, and their number. A balancer that no agent reports to must detect
 #: whether it is cut off.
-QUIET_S = 0.5
-QUERIED_WHEN_QUIET = 3
+SILENCE_S = 0.5
+AGENTS_QUERIED_ON_SILENCE = 3
 _SHARE_KEY = b'teaseldock-share'
 
 
@@ -144,13 +144,13 @@
 
         Otherwise a balancer that no agent reports to looks cut off.
         """
-        if now - max(self._agent_heard_at, self._queried_quiet_at) < QUIET_S:
+        if now - max(self._agent_heard_at, self._queried_quiet_at) < SILENCE_S:
             return
         self._queried_quiet_at = now
         hosts = sorted(
             {item.host for item in self._knowledge.targets.values()}
         )
-        count = min(QUERIED_WHEN_QUIET, len(hosts))
+        count = min(AGENTS_QUERIED_ON_SILENCE, len(hosts))
         for host in self._random.sample(hosts, count):
             self._query_load(host, now)
 
--- a/packages/teaseldock/teaseldock/packets/candidates.py
+++ b/packages/teaseldock/teaseldock/packets/candidates.py
@@ -22,16 +22,16 @@
 
 #: Placements kept for each target; more than reports that are 0.4 s apart
 #: miss.
-PLACEMENTS_KEPT = 64
+MAX_PLACEMENTS = 64
 #: Maximum number of targets considered for a new flow, the first in its rank.
 MAX_CANDIDATES = placing.CANDIDATES * load_query.MAX_GROUPS
 #: Number of agents among which the relays of a search are chosen: one for each
 #: 40 targets, and the next ones if those are silent.
-RELAYS = 16
+MAX_RELAYS = 16
 #: Seconds after the removal of an entry for which its server may still be
 #: alive. The agent is queried at the removal, and reports to all balancers by
 #: itself.
-GONE_AFTER_S = 0.5
+REMOVAL_GRACE_S = 0.5
 
 #: See :attr:`teaseldock.packets.records.Target.run`.
 Run = tuple[str, int]
@@ -96,7 +96,7 @@
     def note_placed(self, target: records.Target, now: float) -> None:
         """Record an own placement that no report includes yet."""
         placed = self._placed.setdefault(
-            target.run, collections.deque(maxlen=PLACEMENTS_KEPT)
+            target.run, collections.deque(maxlen=MAX_PLACEMENTS)
         )
         placed.append(now)
 
@@ -205,7 +205,7 @@
         if peer is not None and peer.heard_at is not None:
             reported_at = peer.heard_at
         placed = self._placed.get(target.run, ())
-        reported_until = reported_at - placing.UNREPORTED_S
+        reported_until = reported_at - placing.UNREPORTED_PLACEMENT_S
         warm_time = self._warm_at.get(target.run)
         age_s = now - reported_at
         unreported = sum(1 for at in placed if at > reported_until)
@@ -285,7 +285,7 @@
         hosts += [
             item.target.host
             for item in self._knowledge.recently_removed(now)
-            if outage or now - item.at < GONE_AFTER_S
+            if outage or now - item.at < REMOVAL_GRACE_S
         ]
         hosts += [
             peer.host
@@ -320,7 +320,7 @@
         usable = [item for item in targets if not self.is_silent(item, now)]
         heard = [item for item in usable if self._is_heard(item.host, now)]
         ordered = placing.ranked(
-            flow, heard or usable, near=self._data_centre, count=RELAYS
+            flow, heard or usable, near=self._data_centre, count=MAX_RELAYS
         )
         return list(dict.fromkeys(target.host for target in ordered))
 
--- a/packages/teaseldock/teaseldock/packets/control.py
+++ b/packages/teaseldock/teaseldock/packets/control.py
@@ -21,7 +21,7 @@
 #: First byte of every datagram between processes.
 _MAGIC = 0x54
 #: Magic, kind, detail and service tag.
-_HEAD = struct.Struct('>BBHI')
+_HEADER = struct.Struct('>BBHI')
 #: A caller's packet for the backend server.
 KIND_PACKET = 1
 #: A caller's packet that the backend server did not take.
@@ -106,7 +106,7 @@
     named: bytes
     failing_percent: int = 0
     layout_revision: int = 0
-    holdings: holdings.Holdings = holdings.NOTHING_KNOWN
+    holdings: holdings.Holdings = holdings.EMPTY_HOLDINGS
     outage_ms: int = -1
     slim: bool = False
     alerted: int = 0
@@ -331,7 +331,7 @@
 
 def pack(kind: int, detail: int, tag: int, body: bytes) -> bytes:
     """Encode a datagram."""
-    return _HEAD.pack(_MAGIC, kind, detail, tag) + body
+    return _HEADER.pack(_MAGIC, kind, detail, tag) + body
 
 
 def unpack(datagram: bytes) -> Envelope:
@@ -339,14 +339,14 @@
 
     :raises MessageError: if no process of the system sends such bytes.
     """
-    if len(datagram) < _HEAD.size or datagram[0] != _MAGIC:
+    if len(datagram) < _HEADER.size or datagram[0] != _MAGIC:
         raise exceptions.MessageError(
             'internal port',
             f'{len(datagram)} bytes are not a message between processes',
             remedy='find the sender; the datagram was dropped',
         )
-    _, kind, detail, tag = _HEAD.unpack_from(datagram)
-    return Envelope(kind, detail, tag, datagram[_HEAD.size :])
+    _, kind, detail, tag = _HEADER.unpack_from(datagram)
+    return Envelope(kind, detail, tag, datagram[_HEADER.size :])
 
 
 _HEARTBEAT_DECODER = msgspec.msgpack.Decoder(Heartbeat)
--- a/packages/teaseldock/teaseldock/packets/control_budget.py
+++ b/packages/teaseldock/teaseldock/packets/control_budget.py
@@ -42,7 +42,7 @@
 #: queued behind it.
 MIN_READER_LINK_MBPS = 50.0
 #: Link speed in megabits a second assumed if the settings give none.
-UNKNOWN_LINK_MBPS = 1000.0
+DEFAULT_LINK_MBPS = 1000.0
 _BYTES_PER_MEGABIT = 125_000.0
 
 
@@ -103,7 +103,7 @@
 class ControlBudget:
     """The bytes that one process may still send, by purpose."""
 
-    def __init__(self, link_mbps: float = UNKNOWN_LINK_MBPS) -> None:
+    def __init__(self, link_mbps: float = DEFAULT_LINK_MBPS) -> None:
         """Create a budget with full buckets.
 
         :param link_mbps: speed of this instance's link, megabits a second.
--- a/packages/teaseldock/teaseldock/packets/dispatching.py
+++ b/packages/teaseldock/teaseldock/packets/dispatching.py
@@ -16,33 +16,33 @@
 
 #: Requests sent to the server beyond its slots: it can start the next one as
 #: soon as a slot is free, without a round trip to this process.
-AHEAD = 1
+EXTRA_REQUESTS = 1
 #: A request can meet its objective if its remaining time is at least the mean
 #: time from release to answer plus this many mean deviations. With the mean
 #: alone nearly half of the released requests end too late; with one deviation,
 #: one in six. More deviations rank requests as late that could be in time: in
 #: a simulation at 1.1 times the capacity of two slots, with 0, 1, 2 and 3
 #: deviations, 0.62, 0.64, 0.63 and 0.58 of the feeds end in time.
-DEVIATIONS = 1.0
+DEVIATION_FACTOR = 1.0
 #: A late non-idempotent request goes first when the time left until its
 #: timeout is less than this many times the mean time from release to answer.
 #: It is then answered before the timeout even if other such requests go
 #: before it.
-LAST_CALL = 3.0
+URGENT_TIME_FACTOR = 3.0
 #: Weight of a new observation in the moving averages.
-OBSERVED_WEIGHT = 0.1
+SAMPLE_WEIGHT = 0.1
 #: Number of observations that the initial times count for: with none, one
 #: slow answer would make all waiting requests rank as late.
 ASSUMED_OBSERVATIONS = 4
 #: Initial service time, and initial deviation of the time from release to
 #: answer, both in seconds.
-FIRST_SERVICE_S = 0.03
-FIRST_DEVIATION_S = 0.01
+INITIAL_SERVICE_S = 0.03
+INITIAL_DEVIATION_S = 0.01
 #: Packets held for one request; a caller has at most 16 in flight.
-PACKETS_HELD = 16
+MAX_PACKETS_PER_REQUEST = 16
 #: Requests held. At 2 slots and 30 ms each, 100 requests take 1.5 s, most of
 #: a deadline.
-REQUESTS_HELD = 400
+MAX_REQUESTS = 400
 
 
 class Terms(typing.NamedTuple):
@@ -112,11 +112,11 @@
             collections.OrderedDict()
         )
         self._running: dict[bytes, _RunningRequest] = {}
-        self._service_s = FIRST_SERVICE_S
+        self._service_s = INITIAL_SERVICE_S
         # Mean time from release to answer, and its mean deviation. The mean
-        # exceeds the service time, since AHEAD requests wait in the server.
-        self._answer_s = FIRST_SERVICE_S
-        self._deviation_s = FIRST_DEVIATION_S
+        # exceeds the service time, since EXTRA_REQUESTS wait in the server.
+        self._answer_s = INITIAL_SERVICE_S
+        self._deviation_s = INITIAL_DEVIATION_S
         self._observations = ASSUMED_OBSERVATIONS
 
     @property
@@ -157,8 +157,8 @@
         :param since: time at which the caller first sent it, if known.
         :returns: the request if it must wait, else None.
         """
-        full = len(self._running) >= slots + AHEAD
-        if (full or self._waiting) and len(self._waiting) < REQUESTS_HELD:
+        full = len(self._running) >= slots + EXTRA_REQUESTS
+        if (full or self._waiting) and len(self._waiting) < MAX_REQUESTS:
             item = WaitingRequest(flow, terms, since)
             self._waiting[flow] = item
             return item
@@ -168,7 +168,7 @@
     def add_packet(self, flow: bytes, packet: typing.Any) -> bool:
         """Hold a packet of a waiting request; return whether it was held."""
         item = self._waiting[flow]
-        if len(item.packets) >= PACKETS_HELD:
+        if len(item.packets) >= MAX_PACKETS_PER_REQUEST:
             return False
         item.packets.append(packet)
         return True
@@ -198,14 +198,14 @@
         taken_s = now - ended.began
         self._update_answer_time(taken_s)
         if ended.timed:
-            self._service_s += OBSERVED_WEIGHT * (taken_s - self._service_s)
+            self._service_s += SAMPLE_WEIGHT * (taken_s - self._service_s)
         return taken_s
 
     def _update_answer_time(self, taken_s: float) -> None:
-        # The first answers have a higher weight: with OBSERVED_WEIGHT alone,
+        # The first answers have a higher weight: with SAMPLE_WEIGHT alone,
         # a new agent beside a cold server would need ten of them to adapt.
         self._observations += 1
-        weight = max(OBSERVED_WEIGHT, 1 / self._observations)
+        weight = max(SAMPLE_WEIGHT, 1 / self._observations)
         error_s = taken_s - self._answer_s
         self._answer_s += weight * error_s
         self._deviation_s += weight * (abs(error_s) - self._deviation_s)
@@ -213,7 +213,7 @@
     @property
     def needed_s(self) -> float:
         """Return the remaining time that a request needs to end in time."""
-        return self._answer_s + DEVIATIONS * self._deviation_s
+        return self._answer_s + DEVIATION_FACTOR * self._deviation_s
 
     def drop(self, flow: bytes) -> None:
         """Drop the request of a flow that has ended."""
@@ -228,7 +228,7 @@
     def release(self, *, slots: int, now: float) -> list[WaitingRequest]:
         """Remove and return the requests to send to the server now."""
         released = []
-        while self._waiting and len(self._running) < slots + AHEAD:
+        while self._waiting and len(self._running) < slots + EXTRA_REQUESTS:
             item = min(
                 self._waiting.values(),
                 key=lambda item: self._sort_key(item, now),
@@ -246,7 +246,7 @@
             return (1, item.terms.priority, left_s)
         timeout_at = item.since + item.terms.timeout_s
         if item.terms.guarded:
-            if timeout_at - now < LAST_CALL * self._answer_s:
+            if timeout_at - now < URGENT_TIME_FACTOR * self._answer_s:
                 return (0, item.terms.priority, timeout_at)
         return (2, item.terms.priority, timeout_at)
 
--- a/packages/teaseldock/teaseldock/packets/holdings.py
+++ b/packages/teaseldock/teaseldock/packets/holdings.py
@@ -21,7 +21,7 @@
 ADDRESS_BYTES = 6
 #: Maximum number of listed addresses, which keeps a heartbeat below 400 bytes.
 #: An agent with more of them is queried about every flow.
-ADDRESSES_TOLD = 32
+MAX_ADDRESSES = 32
 
 
 class Holdings(typing.NamedTuple):
@@ -47,7 +47,7 @@
 
 
 #: Summary of a process without a backend server, or with incomplete state.
-NOTHING_KNOWN = Holdings(0, False, b'')
+EMPTY_HOLDINGS = Holdings(0, False, b'')
 
 
 def make_holdings(
@@ -58,7 +58,7 @@
     :param moved: packed addresses of flows whose routes name other services.
     :param all_flows_seen: whether the agent has seen all flows of its server.
     """
-    complete = all_flows_seen and len(moved) <= ADDRESSES_TOLD
+    complete = all_flows_seen and len(moved) <= MAX_ADDRESSES
     return Holdings(tag, complete, b''.join(moved) if complete else b'')
 
 
--- a/packages/teaseldock/teaseldock/packets/load_query.py
+++ b/packages/teaseldock/teaseldock/packets/load_query.py
@@ -34,7 +34,7 @@
 MAX_GROUPS = 3
 #: Maximum number of flows that wait for answers. Further flows are placed
 #: without a query.
-MAX_WAITING = 1000
+MAX_WAITING_FLOWS = 1000
 
 
 def is_fresh(candidate: placing.Candidate) -> bool:
@@ -113,7 +113,7 @@
     @property
     def full(self) -> bool:
         """Tell whether the maximum number of flows is waiting."""
-        return len(self._waiting) >= MAX_WAITING
+        return len(self._waiting) >= MAX_WAITING_FLOWS
 
     def add(self, query: LoadQuery) -> None:
         """Add a waiting flow; replace the query for its earlier copy."""
--- a/packages/teaseldock/teaseldock/packets/locate_responder.py
+++ b/packages/teaseldock/teaseldock/packets/locate_responder.py
@@ -14,7 +14,7 @@
 
 Send = typing.Callable[[str, bytes], None]
 #: Maximum number of probes that wait for a packet of the server.
-PROBES_KEPT = 1000
+MAX_PROBES = 1000
 
 
 class LocateResponder:
@@ -82,7 +82,7 @@
             self.answer(item.flow, host, searching.LocateResult.HELD)
             return False
         self._probes[item.flow] = host
-        if len(self._probes) > PROBES_KEPT:
+        if len(self._probes) > MAX_PROBES:
             self._probes.popitem(last=False)
         return True
 
--- a/packages/teaseldock/teaseldock/packets/mesh.py
+++ b/packages/teaseldock/teaseldock/packets/mesh.py
@@ -52,7 +52,7 @@
 #: random. Naming 24 in each took 56 KB/s at 98 agents; every two seconds it
 #: took 2.6 of 5.3 KB/s at 59 balancers.
 NAMING_INTERVAL_S = 2.0
-NAMED_AGAIN = 4
+BALANCERS_NAMED = 4
 #: Seconds after the start of a process within which all live processes receive
 #: its address and send it a heartbeat: a naming interval and a heartbeat.
 DISCOVERY_S = NAMING_INTERVAL_S + 0.6
@@ -71,7 +71,7 @@
 PEER_EXPIRY_S = 30.0
 #: Balancers named to a process that has just started; bounds the size of the
 #: heartbeat.
-NAMED_FIRST = 24
+BALANCERS_NAMED_AT_START = 24
 _REPORT_KEY = b'teaseldock-tell1'
 
 
@@ -243,11 +243,11 @@
     def names_due(self, peer: peers.Peer, now: float) -> int:
         """Return how many balancers the next heartbeat to a process names."""
         if not peer.named_at:
-            count = NAMED_FIRST
+            count = BALANCERS_NAMED_AT_START
         elif now - peer.named_at < NAMING_INTERVAL_S:
             return 0
         else:
-            count = NAMED_AGAIN
+            count = BALANCERS_NAMED
         peer.named_at = now
         return count
 
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -31,7 +31,7 @@
 #: 3 ms.
 NOTIFY_FAN_OUT = 4
 #: Seconds between two ticks beyond which this process counts as paused.
-PAUSE_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 #: Seconds after a pause before the process acts on its stored state again:
 #: thirty round trips between data centres, in which peers send what has
 #: changed.
@@ -55,7 +55,7 @@
         reporter: reporting.Reporter,
         randomness: random.Random,
         now: float,
-        link_mbps: float = control_budget.UNKNOWN_LINK_MBPS,
+        link_mbps: float = control_budget.DEFAULT_LINK_MBPS,
         in_force_s: float = readers.IN_FORCE_S,
     ) -> None:
         """Create a node that holds the seeds and no store state.
@@ -193,7 +193,7 @@
 
     def _holdings(self, now: float) -> holdings.Holdings:
         """Return the summary of held flows that heartbeats carry."""
-        return holdings.NOTHING_KNOWN
+        return holdings.EMPTY_HOLDINGS
 
     def _reports_to_all(self, now: float) -> bool:
         """Tell whether this process reports to all balancers."""
@@ -214,7 +214,7 @@
 
     def check_pause(self, now: float) -> None:
         """Detect a pause of this process; to be called before any input."""
-        if now - self._last_tick > PAUSE_S:
+        if now - self._last_tick > PAUSE_THRESHOLD_S:
             self._on_pause(now)
 
     def tick(self, now: float) -> None:
--- a/packages/teaseldock/teaseldock/packets/outcomes.py
+++ b/packages/teaseldock/teaseldock/packets/outcomes.py
@@ -18,7 +18,7 @@
 #: requests has no outcomes; without the decay, a recovered server would get no
 #: new flows. It is tried again within about three time constants after its
 #: last failure, and a single further failure excludes it again.
-FORGET_S = 3.0
+DECAY_S = 3.0
 
 
 class Outcomes:
@@ -38,7 +38,7 @@
     def failing(self, now: float) -> float:
         """Return the failure rate, from 0 to 1."""
         return self._failed_share * math.exp(
-            (self._updated_at - now) / FORGET_S
+            (self._updated_at - now) / DECAY_S
         )
 
     def clear(self) -> None:
--- a/packages/teaseldock/teaseldock/packets/placing.py
+++ b/packages/teaseldock/teaseldock/packets/placing.py
@@ -34,7 +34,7 @@
 #: according to the users. With 1 instead of 6, 7.8 % of the orders were late
 #: in the same simulation, since most flows went to the target that looked
 #: idle. A target that fails its requests also counts as loaded.
-LOADED = 6.0
+HIGH_LOAD = 6.0
 #: Weight of the mean load of the last seconds against the present load. Feeds
 #: send requests repeatedly; the present load misses them between two requests.
 MEAN_WEIGHT = 0.5
@@ -59,10 +59,10 @@
 FAILING_COST = 10.0
 #: Seconds for which a placement counts in addition to the report: the way to
 #: the agent, the wait for its next report, and the way back.
-UNREPORTED_S = 0.01
+UNREPORTED_PLACEMENT_S = 0.01
 #: Number of addresses whose text is cached, so that it is not built for each
 #: flow.
-ADDRESSES_KEPT = 4096
+MAX_CACHED_ADDRESSES = 4096
 _RANK_KEY = b'teaseldock-rank1'
 _BUCKET_KEY = b'teaseldock-bucke'
 
@@ -102,7 +102,7 @@
     return siphash24.siphash24(text, key=_RANK_KEY).digest()
 
 
-@functools.lru_cache(maxsize=ADDRESSES_KEPT)
+@functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _address_text(host: str, port: int) -> bytes:
     return f'{host}:{port}'.encode()
 
@@ -189,7 +189,7 @@
 
 def is_loaded(candidate: Candidate) -> bool:
     """Tell whether a flow should go to another target if possible."""
-    return occupancy(candidate) + FAILING_COST * candidate.failing >= LOADED
+    return occupancy(candidate) + FAILING_COST * candidate.failing >= HIGH_LOAD
 
 
 def pick(ordered: list[Candidate], *, data_centre: str) -> Candidate:
--- a/packages/teaseldock/teaseldock/packets/relaying.py
+++ b/packages/teaseldock/teaseldock/packets/relaying.py
@@ -19,17 +19,17 @@
 
 #: Initial retry interval for hosts that have not answered, in seconds, doubled
 #: after each retry: longer than a busy agent takes for a batch of datagrams.
-ASK_AGAIN_S = 0.1
+RETRY_INTERVAL_S = 0.1
 #: Seconds after which the denials so far are reported to the balancer if some
 #: hosts have not answered: they must not be lost if the relay dies.
-PARTIAL_S = 0.05
+PARTIAL_REPORT_S = 0.05
 #: Seconds after which a relayed search is dropped; by then the balancer has
 #: asked another relay.
-FORGET_S = 2.0
+SEARCH_TTL_S = 2.0
 #: Maximum number of concurrent relayed searches; the oldest is evicted first.
 #: At 200 flows a second over 40 agents, each agent gets 5 searches a second
 #: of some 10 ms each.
-ERRANDS_KEPT = 500
+MAX_SEARCHES = 500
 
 
 class _RelayedSearch:
@@ -83,7 +83,7 @@
         self._meters.counters['errands'] += 1
         self._searches[flow] = _RelayedSearch(request, requester, now)
         self._searches.move_to_end(flow)
-        if len(self._searches) > ERRANDS_KEPT:
+        if len(self._searches) > MAX_SEARCHES:
             self._searches.popitem(last=False)
         for host in request.hosts:
             self._query(host, control.KIND_LOCATE, flow)
@@ -149,12 +149,12 @@
     def tick(self, now: float) -> None:
         """Retry hosts without an answer, and drop expired searches."""
         for flow, search in list(self._searches.items()):
-            if now - search.began > FORGET_S:
+            if now - search.began > SEARCH_TTL_S:
                 del self._searches[flow]
                 continue
-            if now - search.began > PARTIAL_S and not search.reported:
+            if now - search.began > PARTIAL_REPORT_S and not search.reported:
                 self._report_denials(search, flow)
-            wait_s = ASK_AGAIN_S * 2 ** (search.attempts - 1)
+            wait_s = RETRY_INTERVAL_S * 2 ** (search.attempts - 1)
             if now - search.asked_at < wait_s:
                 continue
             search.asked_at = now
--- a/packages/teaseldock/teaseldock/packets/searching.py
+++ b/packages/teaseldock/teaseldock/packets/searching.py
@@ -18,24 +18,24 @@
 
 #: Packets held for a flow during its search; a caller has at most 16 in
 #: flight.
-PACKETS_KEPT = 16
+MAX_PACKETS = 16
 #: Number of targets that the balancer queries itself. New flows are placed on
 #: these targets if one of them has a free slot (see placing.CANDIDATES).
-ASKED_FIRST = 4
+DIRECT_QUERIES = 4
 #: Seconds after which the other targets are queried although some of the
 #: first have not answered: five round trips between data centres.
-WIDEN_S = 0.02
+DIRECT_QUERY_TIMEOUT_S = 0.02
 #: Seconds after which another relay replaces one that has not answered,
-#: doubled each time up to LONGEST_AGAIN_S; callers retransmit their data after
-#: 0.2, 0.6 and 1.4 s.
-ASK_AGAIN_S = 0.2
-LONGEST_AGAIN_S = 0.8
+#: doubled each time up to MAX_RELAY_RETRY_S; callers retransmit their data
+#: after 0.2, 0.6 and 1.4 s.
+RELAY_RETRY_S = 0.2
+MAX_RELAY_RETRY_S = 0.8
 #: Maximum number of hosts in one relay request: with a whole packet and all
 #: headers, 40 hosts fit into 1,431 bytes.
 HOSTS_PER_RELAY = 40
 #: Seconds after which a search expires; a caller retransmits its data within
 #: 1.6 s.
-FORGET_S = 5.0
+SEARCH_TTL_S = 5.0
 
 
 class LocateResult(enum.IntEnum):
@@ -107,7 +107,7 @@
         """Hold a packet until the search ends; evict the oldest if full."""
         if any(item.raw == kept.raw for kept in self._packets):
             return
-        if len(self._packets) >= PACKETS_KEPT:
+        if len(self._packets) >= MAX_PACKETS:
             self._packets.pop(0)
         self._packets.append(item)
 
@@ -138,7 +138,7 @@
         """Return the hosts that the balancer has yet to query itself."""
         return [
             host
-            for host in self._hosts[:ASKED_FIRST]
+            for host in self._hosts[:DIRECT_QUERIES]
             if host not in self._asked and host not in self._denied
         ]
 
@@ -149,16 +149,16 @@
     def hosts_for_relays(self, now: float) -> list[str]:
         """Return the hosts that relays must query now, if any."""
         if self._relayed_at is None:
-            waits = not self._answered.issuperset(self._hosts[:ASKED_FIRST])
-            if waits and now - self._began < WIDEN_S:
+            waits = not self._answered.issuperset(self._hosts[:DIRECT_QUERIES])
+            if waits and now - self._began < DIRECT_QUERY_TIMEOUT_S:
                 return []
         elif now - self._relayed_at < self._relay_wait_s():
             return []
         return [host for host in self._hosts if host not in self._denied]
 
     def _relay_wait_s(self) -> float:
-        doubled = ASK_AGAIN_S * 2 ** (self._relay_rounds - 1)
-        return min(LONGEST_AGAIN_S, doubled)
+        doubled = RELAY_RETRY_S * 2 ** (self._relay_rounds - 1)
+        return min(MAX_RELAY_RETRY_S, doubled)
 
     def relayed(self, now: float) -> None:
         """Record that a round of relay requests was sent."""
@@ -167,4 +167,4 @@
 
     def stale(self, now: float) -> bool:
         """Return whether the search has expired."""
-        return now - self._began > FORGET_S
+        return now - self._began > SEARCH_TTL_S
--- a/packages/teaseldock/teaseldock/packets/tracking.py
+++ b/packages/teaseldock/teaseldock/packets/tracking.py
@@ -15,25 +15,25 @@
 #: Maximum number of tracked flows; the users' requirements state 2,000 for a
 #: backend server. Packets of further flows are forwarded as well, but those
 #: flows are missing in the load.
-FLOWS_TRACKED = 8_000
+MAX_FLOWS = 8_000
 #: Seconds added to the configured idle timeout before a flow without packets
 #: is dropped: callers repeat a request for some seconds.
 IDLE_MARGIN_S = 5.0
 #: Seconds for which a flow is kept after the server has ended it or is known
 #: not to hold it. The server repeats its last packet eight times, for 9.4 s,
 #: and answers packets of the caller during that time.
-ENDED_S = 10.0
+ENDED_FLOW_TTL_S = 10.0
 #: Seconds for which an opening flow counts as a request: the first request
 #: follows after one round trip to the caller, 2 to 6 ms.
-OPENING_S = 0.1
+OPENING_LOAD_S = 0.1
 #: Time constant of the mean load, in seconds: two to four requests of a feed.
-MEAN_S = 2.0
+LOAD_TIME_CONSTANT_S = 2.0
 #: A server counts as unresponsive if this many openings are unanswered, the
-#: oldest of them for SILENT_S seconds; a server answers in under 1 ms.
-SILENT_OPENINGS = 2
-SILENT_S = 0.15
+#: oldest of them for UNANSWERED_S seconds; a server answers in under 1 ms.
+UNANSWERED_OPENINGS = 2
+UNANSWERED_S = 0.15
 #: Seconds after which a caller abandons an opening.
-ATTEMPT_S = 1.4
+OPENING_TIMEOUT_S = 1.4
 
 
 #: Seconds after the first opening at which the caller sent each copy, indexed
@@ -42,10 +42,10 @@
 #: Maximum number of bytes that a server sends over one flow: one minute of
 #: answers. The initial sequence numbers of two servers that accept the same
 #: opening differ by more, except for one pair in 256.
-FLOW_BYTES = 1 << 24
+MAX_FLOW_BYTES = 1 << 24
 #: Half the number of 32-bit sequence numbers, and the number of them.
-_HALF = 1 << 31
-_WHOLE = 1 << 32
+_HALF_MODULUS = 1 << 31
+_MODULUS = 1 << 32
 
 
 class _Flow:
@@ -169,7 +169,7 @@
         tracked = self._flows.get(item.flow)
         if tracked is None or tracked.start is None or item.resetting:
             return False
-        return (item.acknowledged - tracked.start) % _WHOLE <= 1
+        return (item.acknowledged - tracked.start) % _MODULUS <= 1
 
     def is_stray_reset(self, item: packet.Packet) -> bool:
         """Return whether a server's reset is for a flow that it never held.
@@ -192,7 +192,7 @@
         """Record that the server does not hold a flow."""
         self.forget(flow)
         self._not_held[flow] = now
-        if len(self._not_held) > FLOWS_TRACKED:
+        if len(self._not_held) > MAX_FLOWS:
             self._not_held.popitem(last=False)
 
     def is_marked_not_held(self, flow: bytes) -> bool:
@@ -216,14 +216,14 @@
         tracked = self._flows.get(item.flow)
         if tracked is None or tracked.start is None or item.resetting:
             return True
-        return (item.acknowledged - tracked.start) % _WHOLE < FLOW_BYTES
+        return (item.acknowledged - tracked.start) % _MODULUS < MAX_FLOW_BYTES
 
     def responsive(self, now: float) -> bool:
         """Return whether the server answers openings."""
-        if len(self._unanswered_openings) < SILENT_OPENINGS:
+        if len(self._unanswered_openings) < UNANSWERED_OPENINGS:
             return True
         oldest = next(iter(self._unanswered_openings.values()))
-        return now - oldest.at < SILENT_S
+        return now - oldest.at < UNANSWERED_S
 
     def from_caller(
         self, item: packet.Packet, now: float
@@ -233,7 +233,7 @@
             self._unanswered_openings.setdefault(
                 item.flow, _Opening(now, item.acknowledged)
             )
-            if len(self._unanswered_openings) > FLOWS_TRACKED:
+            if len(self._unanswered_openings) > MAX_FLOWS:
                 self._unanswered_openings.popitem(last=False)
             return None
         if item.resetting:
@@ -248,7 +248,7 @@
         tracked.seen_at = now
         if not item.length or not self._is_new(item, tracked.received):
             return None
-        tracked.received = (item.sequence + item.length) % _WHOLE
+        tracked.received = (item.sequence + item.length) % _MODULUS
         if tracked.asked_at is not None:
             return None
         self._update_mean(now)
@@ -273,13 +273,13 @@
         """
         if highest is None:
             return True
-        ahead = (item.sequence + item.length - highest) % _WHOLE
-        return 0 < ahead < _HALF
+        ahead = (item.sequence + item.length - highest) % _MODULUS
+        return 0 < ahead < _HALF_MODULUS
 
     def _add_flow(self, flow: bytes, delay_s: float, now: float) -> _Flow:
         tracked = self._flows[flow] = _Flow(delay_s, now)
         self._addresses.add(flows.packed_service_endpoint(flow))
-        if len(self._flows) > FLOWS_TRACKED:
+        if len(self._flows) > MAX_FLOWS:
             self.forget(next(iter(self._flows)))
         return tracked
 
@@ -313,7 +313,7 @@
             tracked.confirmed = True
         taken_s = None
         if item.length and self._is_new(item, tracked.sent):
-            tracked.sent = (item.sequence + item.length) % _WHOLE
+            tracked.sent = (item.sequence + item.length) % _MODULUS
             taken_s = self._finish_request(tracked, now)
         if item.closing:
             self._mark_ended(item.flow, now)
@@ -323,7 +323,7 @@
         """Record that the server has ended a flow."""
         self.forget(flow)
         self._ended[flow] = now
-        if len(self._ended) > FLOWS_TRACKED:
+        if len(self._ended) > MAX_FLOWS:
             self._ended.popitem(last=False)
 
     def _finish_request(self, tracked: _Flow, now: float) -> float | None:
@@ -380,7 +380,7 @@
         for recent_flows in (self._ended, self._not_held):
             while recent_flows:
                 flow, since = next(iter(recent_flows.items()))
-                if now - since < ENDED_S:
+                if now - since < ENDED_FLOW_TTL_S:
                     break
                 del recent_flows[flow]
         held = itertools.chain(self._flows, self._ended)
@@ -389,13 +389,13 @@
         }
         while self._unanswered_openings:
             flow, opening = next(iter(self._unanswered_openings.items()))
-            if now - opening.at < ATTEMPT_S:
+            if now - opening.at < OPENING_TIMEOUT_S:
                 break
             del self._unanswered_openings[flow]
 
     def _update_mean(self, now: float) -> None:
         """Update the moving average of the pending requests up to now."""
-        share = min(1.0, (now - self._mean_updated_at) / MEAN_S)
+        share = min(1.0, (now - self._mean_updated_at) / LOAD_TIME_CONSTANT_S)
         self._mean_requests += (
             self._pending_requests - self._mean_requests
         ) * share
@@ -410,7 +410,7 @@
         opening = sum(
             1
             for item in self._unanswered_openings.values()
-            if now - item.at < OPENING_S
+            if now - item.at < OPENING_LOAD_S
         )
         present = self._pending_requests + opening
         running = min(slots, present)
--- a/packages/teaseldock/teaseldock/packets/warming.py
+++ b/packages/teaseldock/teaseldock/packets/warming.py
@@ -17,15 +17,15 @@
     from teaseldock.packets import records
 
 #: Seconds over which the operator's limit applies.
-WINDOW_S = 1.0
-#: Share of the limit that an agent allows in the first WINDOW_S after its
-#: start. It has no count of what passed before it was restarted, and operators
-#: tolerate half again as much in one window.
+LIMIT_WINDOW_S = 1.0
+#: Share of the limit that an agent allows in the first LIMIT_WINDOW_S after
+#: its start. It has no count of what passed before it was restarted, and
+#: operators tolerate half again as much in one window.
 RESTART_SHARE = 0.5
 
 
 class Window:
-    """The times of the events within the last WINDOW_S.
+    """The times of the events within the last LIMIT_WINDOW_S.
 
     A token bucket of the same rate would let a burst through on top of the
     limit; the times of the last few events bound any interval exactly.
@@ -40,8 +40,8 @@
         self._moments.append(now)
 
     def count(self, now: float) -> int:
-        """Return the number of events within the last WINDOW_S."""
-        while self._moments and now - self._moments[0] >= WINDOW_S:
+        """Return the number of events within the last LIMIT_WINDOW_S."""
+        while self._moments and now - self._moments[0] >= LIMIT_WINDOW_S:
             self._moments.popleft()
         return len(self._moments)
 
@@ -88,7 +88,7 @@
         if self._limit is None or not self.is_cold(now):
             return None
         allowed = self._limit.requests_per_s
-        if now - self._started_at < WINDOW_S:
+        if now - self._started_at < LIMIT_WINDOW_S:
             allowed *= RESTART_SHARE
         # Even with a limit below one per second the server takes one.
         return max(0, max(1, math.floor(allowed)) - window.count(now))
--- a/tests/packets/test_dispatching.py
+++ b/tests/packets/test_dispatching.py
@@ -108,7 +108,7 @@
 def full_queue() -> dispatching.RequestQueue:
     """Return a queue whose server has all the requests that it may have."""
     queue = dispatching.RequestQueue()
-    for number in range(SLOTS + dispatching.AHEAD):
+    for number in range(SLOTS + dispatching.EXTRA_REQUESTS):
         flow = b'running%d' % number
         assert queue.offer(flow, FEED, slots=SLOTS, since=0, now=0) is None
     return queue
@@ -171,19 +171,19 @@
     queue.offer(b'stale', FEED, slots=SLOTS, since=0.0, now=0.0)
     expired = queue.expire(2.6)
     assert [item.flow for item in expired.waiting] == [b'stale']
-    assert len(expired.running) == SLOTS + dispatching.AHEAD
+    assert len(expired.running) == SLOTS + dispatching.EXTRA_REQUESTS
     assert not queue.release(slots=SLOTS, now=2.6)
 
 
 def test_memory_is_bounded() -> None:
     """The numbers of held requests and packets are bounded."""
     queue = full_queue()
-    for number in range(dispatching.REQUESTS_HELD + 50):
+    for number in range(dispatching.MAX_REQUESTS + 50):
         flow = b'waiting%d' % number
         queue.offer(flow, FEED, slots=SLOTS, since=0.0, now=0.0)
-    assert queue.waiting == dispatching.REQUESTS_HELD
+    assert queue.waiting == dispatching.MAX_REQUESTS
     kept = [queue.add_packet(b'waiting0', b'') for _ in range(40)]
-    assert kept.count(True) == dispatching.PACKETS_HELD
+    assert kept.count(True) == dispatching.MAX_PACKETS_PER_REQUEST
 
 
 class ColdServerSimulation:
--- a/tests/packets/test_outcomes.py
+++ b/tests/packets/test_outcomes.py
@@ -69,7 +69,7 @@
     for _ in range(10):
         record.note(0.0, failed=True)
     assert record.failing(0.0) > 0.85
-    assert record.failing(3 * outcomes.FORGET_S) < 0.1
+    assert record.failing(3 * outcomes.DECAY_S) < 0.1
 
 
 def test_one_failure_in_a_hundred_is_no_verdict() -> None:
--- a/tests/packets/test_relaying.py
+++ b/tests/packets/test_relaying.py
@@ -121,7 +121,7 @@
     """
     relay, sender = start_relay()
     relay.on_located(answer(searching.LocateResult.NOT_HELD), HOSTS[0])
-    relay.tick(relaying.PARTIAL_S + 0.01)
+    relay.tick(relaying.PARTIAL_REPORT_S + 0.01)
     assert reported_results(sender) == [
         (searching.LocateResult.NOT_HELD, HOSTS[:1])
     ]
@@ -129,10 +129,10 @@
     assert reported_results(sender) == [
         (searching.LocateResult.NOT_HELD, [HOSTS[1]])
     ]
-    relay.tick(relaying.ASK_AGAIN_S)
+    relay.tick(relaying.RETRY_INTERVAL_S)
     asked = [host for host, _ in sender.take_kind(control.KIND_LOCATE)]
     assert asked == [HOSTS[2]]
-    relay.tick(relaying.FORGET_S + 0.1)
+    relay.tick(relaying.SEARCH_TTL_S + 0.1)
     relay.on_located(answer(searching.LocateResult.NOT_HELD), HOSTS[2])
     assert not sender.sent
 
@@ -141,7 +141,7 @@
     """The oldest relayed search is evicted when there are too many."""
     sender = RecordingSender()
     relay = relaying.Relay(sender.send, reporting.Meters())
-    for number in range(relaying.ERRANDS_KEPT + 1):
+    for number in range(relaying.MAX_SEARCHES + 1):
         request = control.RelayRequest(HOSTS[:1], b'raw')
         relay.begin(request, number.to_bytes(12), REQUESTER, 0.0)
     sender.sent.clear()
--- a/tests/packets/test_searching.py
+++ b/tests/packets/test_searching.py
@@ -91,7 +91,7 @@
     assert search.probe.length == 80
     for number in range(40):
         search.add_packet(make_packet(number, length=90))
-    assert len(search.take_packets()) == searching.PACKETS_KEPT
+    assert len(search.take_packets()) == searching.MAX_PACKETS
     assert search.probe is None
 
 
--- a/tests/packets/test_tracking.py
+++ b/tests/packets/test_tracking.py
@@ -81,7 +81,7 @@
     placed there, and their openings would time out.
     """
     tracker = tracker_of_open_flow()
-    for number in range(tracking.SILENT_OPENINGS):
+    for number in range(tracking.UNANSWERED_OPENINGS):
         flow = bytes([number]) * 12
         tracker.from_caller(make_packet(opening=True)._replace(flow=flow), 1.0)
     assert tracker.load(2, 1.01).accepting
