--- a/bench/packet_news.py
+++ b/bench/packet_news.py
@@ -126,7 +126,7 @@
             refused_until = self._refused.get(host, 0.0) + TOUCH_S
             if self._is_troubled(host, now) or refused_until > now:
                 continue
-            if process.node._reading.calling:
+            if process.node._read_schedule.calling:
                 # It hears of any change at once; it has no proof until the
                 # store has answered that there is none.
                 continue
--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -32,7 +32,7 @@
 DEFAULT_SLOTS = 1
 
 ToServer = typing.Callable[['packet.Packet', str], None]
-Inputs = typing.Callable[[], dict[str, typing.Any]]
+LogFields = typing.Callable[[], dict[str, typing.Any]]
 
 
 class Admission:
@@ -45,7 +45,7 @@
         warming_state: warming.ColdLimiter,
         *,
         to_server: ToServer,
-        inputs: Inputs,
+        log_fields: LogFields,
         reporter: reporting.Reporter,
         meters: reporting.Meters,
         now: float,
@@ -54,14 +54,14 @@
 
         :param to_server: sends a packet to the server; its second argument is
             the host of the balancer that sent the packet.
-        :param inputs: returns the configuration version, store revision and
-            era in use, for log lines.
+        :param log_fields: returns the configuration version, store revision
+            and era in use, for log lines.
         """
         self._tracker = tracker
         self._knowledge = known
         self._warming = warming_state
         self._to_server = to_server
-        self._inputs = inputs
+        self._log_fields = log_fields
         self._reporter = reporter
         self._meters = meters
         self._queue = dispatching.RequestQueue()
@@ -236,7 +236,7 @@
                 running=self._queue.running,
                 waiting=self._queue.waiting,
                 service_ms=round(self._queue.service_s * 1000, 1),
-                **self._inputs(),
+                **self._log_fields(),
             )
         self.release(now)
 
@@ -250,7 +250,7 @@
             failing=self.failing(now),
             running=self._queue.running,
             waiting=self._queue.waiting,
-            **self._inputs(),
+            **self._log_fields(),
         )
         self._note_failing_change(now)
 
@@ -267,5 +267,5 @@
             ),
             failing=failing,
             running=self._queue.running,
-            **self._inputs(),
+            **self._log_fields(),
         )
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -72,7 +72,7 @@
             self._knowledge,
             self._warming,
             to_server=self._to_server,
-            inputs=lambda: self._flow_inputs,
+            log_fields=lambda: self._log_fields,
             reporter=self._reporter,
             meters=self._meters,
             now=now,
@@ -212,7 +212,7 @@
             seen=seen,
             dropped=self.queue.running + self.queue.waiting,
             flows=self._tracker.flows,
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._admission.clear()
         self._tracker.server_restarted()
@@ -257,7 +257,7 @@
                 'takes new flows' if self._accepting else 'takes no new flows',
                 leaving=self._leaving,
                 responsive=self._tracker.responsive(now),
-                **self._flow_inputs,
+                **self._log_fields,
             )
         return heartbeat
 
@@ -365,7 +365,7 @@
             to=host,
             why=reason.name.lower(),
             flows=self._tracker.flows,
-            **self._flow_inputs,
+            **self._log_fields,
         )
 
     def _give_back(
@@ -400,7 +400,7 @@
             'reset kept back',
             flow=reporting.flow_text(item.flow),
             why='the server never showed that it holds the flow',
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._admission.drop(item.flow, now)
         self._tracker.mark_not_held(item.flow, now)
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -57,9 +57,9 @@
         self._locator = locating.Locator(
             self._targets,
             forward=self._forward,
-            inputs=lambda: self._flow_inputs,
+            log_fields=lambda: self._log_fields,
             control_bytes=self._budget,
-            catch_up=self._exchange.pull,
+            request_changes=self._synchronizer.pull,
             io=self._io,
             reporter=self._reporter,
             meters=self._meters,
@@ -343,7 +343,7 @@
             load_age_ms=round(chosen.age_s * 1000),
             candidates=len(usable),
             answered=len(answered),
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._forward(item, hint)
 
@@ -359,7 +359,7 @@
             flow=reporting.flow_text(item.flow),
             why=why,
             denied=denied,
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._io.reset_caller(item)
 
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -16,8 +16,8 @@
     from teaseldock.packets import packet
 
 Forward = typing.Callable[['packet.Packet', hints.Hint], None]
-Inputs = typing.Callable[[], dict[str, typing.Any]]
-CatchUp = typing.Callable[[float], None]
+LogFields = typing.Callable[[], dict[str, typing.Any]]
+RequestChanges = typing.Callable[[float], None]
 
 
 class Locator:
@@ -28,9 +28,9 @@
         targets: candidates.Candidates,
         *,
         forward: Forward,
-        inputs: Inputs,
+        log_fields: LogFields,
         control_bytes: control_budget.ControlBudget,
-        catch_up: CatchUp,
+        request_changes: RequestChanges,
         io: io_interface.IOInterface,
         reporter: reporting.Reporter,
         meters: reporting.Meters,
@@ -38,20 +38,20 @@
         """Create a locator without searches.
 
         :param forward: sends a packet to the host of its hint.
-        :param inputs: returns the configuration version, store revision and
-            era in use, for log lines.
+        :param log_fields: returns the configuration version, store revision
+            and era in use, for log lines.
         :param control_bytes: budget that searches are charged to.
-        :param catch_up: requests changes that other processes have.
+        :param request_changes: requests changes that other processes have.
         """
         self._targets = targets
         self._forward = forward
-        self._inputs = inputs
+        self._log_fields = log_fields
         self._io = io
         self._reporter = reporter
         self._meters = meters
         self._active_searches: dict[bytes, hints.Hint] = {}
         self._budget = control_bytes
-        self._catch_up = catch_up
+        self._request_changes = request_changes
 
     def search(
         self, item: packet.Packet, hint: hints.Hint, now: float
@@ -180,7 +180,7 @@
             flow=reporting.flow_text(flow),
             took_ms=round(took_ms),
             host=host,
-            **self._inputs(),
+            **self._log_fields(),
         )
         for item in search.take_packets():
             self._forward(item, hint)
@@ -201,7 +201,7 @@
         """
         if self._targets.is_behind(search.layout_revision, now):
             self._meters.counters['verdicts_delayed'] += 1
-            self._catch_up(now)
+            self._request_changes(now)
             return
         search.set_hosts(self._targets.holders(flow, hint, now))
         if search.all_denied:
@@ -225,7 +225,7 @@
             took_ms=round(took_ms),
             asked=len(search.denied),
             denied_before=len(hint.denied),
-            **self._inputs(),
+            **self._log_fields(),
         )
         for item in search.take_packets()[-1:]:
             self.reset(item)
--- a/packages/teaseldock/teaseldock/packets/node.py
+++ b/packages/teaseldock/teaseldock/packets/node.py
@@ -95,7 +95,7 @@
             in_force_s=in_force_s,
             now=now,
         )
-        self._exchange = synchronization.Synchronizer(
+        self._synchronizer = synchronization.Synchronizer(
             self._knowledge,
             self._mesh,
             self._budget,
@@ -105,7 +105,7 @@
             meters=self._meters,
             randomness=randomness,
         )
-        self._reading = read_schedule.ReadSchedule(randomness)
+        self._read_schedule = read_schedule.ReadSchedule(randomness)
         self._read_reason: readers.ReadReason | None = None
         self._call_started_at = now
         # Store position that was held when the pending call began.
@@ -153,7 +153,7 @@
         return self._leaving
 
     @property
-    def _flow_inputs(self) -> dict[str, typing.Any]:
+    def _log_fields(self) -> dict[str, typing.Any]:
         """Return the versions on which packet decisions are based now."""
         return {
             'version': self._knowledge.version,
@@ -162,7 +162,7 @@
         }
 
     @property
-    def _alert_inputs(self) -> dict[str, typing.Any]:
+    def _alert_log_fields(self) -> dict[str, typing.Any]:
         """Return the newest alerts held here and reported by others."""
         newest = self._mesh.newest_alert
         return {
@@ -204,7 +204,7 @@
         if self._leaving:
             return
         self._leaving = True
-        self._reporter.note('leaving', **self._flow_inputs)
+        self._reporter.note('leaving', **self._log_fields)
         self._send_heartbeats(self._mesh.balancers(), now)
         self._send_heartbeats(self._mesh.to_notify(0, now), now)
 
@@ -227,8 +227,8 @@
         )
         if self._knowledge.expire_evacuations(now):
             self._on_store_change(now)
-        self._exchange.pull_alerts(now)
-        self._exchange.pull(now)
+        self._synchronizer.pull_alerts(now)
+        self._synchronizer.pull(now)
         self.read_if_due(now)
         if self._budget.ran_dry(now):
             self._reporter.note('control budget dry', **self._budget.spent)
@@ -241,9 +241,9 @@
         self._reporter.note(
             'alerts may be missing' if old else 'alerts current',
             age_s=round(self._alerts_freshness.age_s(now), 2),
-            **self._alert_inputs,
+            **self._alert_log_fields,
             store_failing=self._store.failing,
-            **self._flow_inputs,
+            **self._log_fields,
         )
 
     def _on_pause(self, now: float) -> None:
@@ -253,7 +253,7 @@
         self._last_tick = now
         self._meters.counters['pauses'] += 1
         self._reporter.note(
-            'paused', seconds=round(pause_s, 3), **self._flow_inputs
+            'paused', seconds=round(pause_s, 3), **self._log_fields
         )
         self._resync_until = now + RESYNC_S
         self._mesh.on_resume(pause_s)
@@ -270,13 +270,13 @@
 
     def read_if_due(self, now: float) -> None:
         """Call the store if this process should and no call is pending."""
-        if self._reading.calling:
+        if self._read_schedule.calling:
             return
         why = self._reason_to_read(now)
         self._report_reading(why, now)
         if why is None:
             return
-        step = self._reading.next_step(self._knowledge.revision, now)
+        step = self._read_schedule.next_step(self._knowledge.revision, now)
         if step is None:
             return
         self._meters.counters['store_calls'] += 1
@@ -301,8 +301,8 @@
             rank=self._readers.rank,
             proof_age_s=round(self._readers.proof_age_s(now), 2),
             confirmed_ms=self._store.confirmed_ms(now),
-            **self._alert_inputs,
-            **self._flow_inputs,
+            **self._alert_log_fields,
+            **self._log_fields,
         )
 
     def store_answered(self, changes: records.Changes, now: float) -> None:
@@ -320,15 +320,15 @@
             )
             return
         if self._store.record_answer(now):
-            self._reporter.note('store regained', **self._flow_inputs)
+            self._reporter.note('store regained', **self._log_fields)
         changed = self._apply_changes(changes, SOURCE_STORE, now)
-        self._reading.succeeded(now, changed=changed)
+        self._read_schedule.succeeded(now, changed=changed)
         self.read_if_due(now)
 
     def store_lost_history(self, now: float) -> None:
         """Record that a watch cannot continue from the current revision."""
-        self._reporter.note('store history lost', **self._flow_inputs)
-        self._reading.history_lost(now)
+        self._reporter.note('store history lost', **self._log_fields)
+        self._read_schedule.history_lost(now)
         self.read_if_due(now)
 
     def store_failed(self, problem: str, now: float) -> None:
@@ -337,7 +337,7 @@
         first = self._store.record_failure(now)
         if first:
             self._reporter.note(
-                'store lost', problem=problem, **self._flow_inputs
+                'store lost', problem=problem, **self._log_fields
             )
         # A single lost answer must not use up the whole time in which a change
         # must be in force.
@@ -345,7 +345,7 @@
         as_prober = as_prober or self._readers.is_prober(
             now, leaving=self._leaving
         )
-        self._reading.failed(now, is_prober=as_prober)
+        self._read_schedule.failed(now, is_prober=as_prober)
 
     def entry_refused(self, problem: str) -> None:
         """Record an entry of the store that could not be read."""
@@ -378,7 +378,7 @@
             'changes in force',
             source=source,
             before=positions.revision(known),
-            **self._flow_inputs,
+            **self._log_fields,
             new_version=self._knowledge.version != before,
             targets=len(self._knowledge.targets),
             entries=len(changes.targets),
@@ -410,7 +410,7 @@
             'store era',
             source=source,
             before=positions.era(before),
-            **self._flow_inputs,
+            **self._log_fields,
         )
 
     def _update_freshness(self) -> None:
@@ -432,7 +432,7 @@
             since=positions.revision(alerts.since),
             upto=positions.revision(alerts.upto),
             evacuated=sorted(self._knowledge.evacuated),
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._on_store_change(now)
         if self._is_balancer:
@@ -520,15 +520,15 @@
                     solicited=bool(envelope.detail),
                 )
             elif envelope.kind == control.KIND_CHANGES:
-                self._exchange.on_changes(envelope.body, host, now)
+                self._synchronizer.on_changes(envelope.body, host, now)
             elif envelope.kind == control.KIND_GET_CHANGES:
-                self._exchange.on_changes_request(envelope.body, host, now)
+                self._synchronizer.on_changes_request(envelope.body, host, now)
             elif envelope.kind == control.KIND_GET_ALERTS:
-                self._exchange.on_alerts_request(envelope.body, host, now)
+                self._synchronizer.on_alerts_request(envelope.body, host, now)
             elif envelope.kind == control.KIND_ALERTS:
-                self._exchange.on_alerts(envelope.body, host, now)
+                self._synchronizer.on_alerts(envelope.body, host, now)
             elif envelope.kind == control.KIND_REFERRAL:
-                self._exchange.on_referral(envelope.body, host, now)
+                self._synchronizer.on_referral(envelope.body, host, now)
             else:
                 self._on_envelope(envelope, host, now)
         except exceptions.TeaseldockError as error:
@@ -561,12 +561,12 @@
             if self._replies_to(peer, now) and not solicited:
                 self._send_heartbeats([peer], now)
         if heartbeat.alerted > self._knowledge.alerts_upto:
-            self._exchange.pull_alerts(now, source=host)
+            self._synchronizer.pull_alerts(now, source=host)
         if (
             heartbeat.revision > self._knowledge.content_revision
             or heartbeat.version > self._knowledge.version
         ):
-            self._exchange.pull(now)
+            self._synchronizer.pull(now)
         self._on_heartbeat(peer, now)
 
     def _merge_freshness(
--- a/tests/packets/test_alerts.py
+++ b/tests/packets/test_alerts.py
@@ -212,7 +212,7 @@
     process = world.balancers()[0]
     name = next(iter(process.node.knowledge.targets))
     made_up = alerts_of(0, 10_000, (LEAVES, name, 10_000))
-    process.node._exchange._alerts_asked_at = world.now
+    process.node._synchronizer._alerts_asked_at = world.now
     process.node.on_datagram(
         control.pack_alerts(made_up), '10.0.9.9', world.now
     )
--- a/tests/packets/test_evacuation.py
+++ b/tests/packets/test_evacuation.py
@@ -144,8 +144,8 @@
     world.cut.update(frozenset((lagging, host)) for host in others)
     process = world.processes[lagging]
     # Its agents know more, but it may not ask them.
-    process.node._exchange.pull = lambda now: None
-    process.node._exchange.pull_alerts = lambda now, source=None: None
+    process.node._synchronizer.pull = lambda now: None
+    process.node._synchronizer.pull_alerts = lambda now, source=None: None
     world.store.evacuate('east')
     world.run(IN_FORCE_S)
     assert process.node.knowledge.evacuated == frozenset()
--- a/tests/packets/test_freshness.py
+++ b/tests/packets/test_freshness.py
@@ -133,8 +133,8 @@
         for item in world.balancers()
         if not item.node.reads_store(world.now)
     )
-    process.node._exchange.on_changes = lambda *_: None
-    process.node._exchange.on_alerts = lambda *_: None
+    process.node._synchronizer.on_changes = lambda *_: None
+    process.node._synchronizer.on_alerts = lambda *_: None
     server = next(iter(world.servers.values()))
     server.draining = True
     world.store.put(server)
@@ -151,7 +151,7 @@
     """
     world = packet_world.small_world(balancers=6, servers=6)
     process = world.balancers()[0]
-    exchange = process.node._exchange
+    exchange = process.node._synchronizer
     handlers = exchange.on_changes, exchange.on_alerts
     exchange.on_changes = exchange.on_alerts = lambda *_: None
     world.store.refused.add(process.host)
@@ -186,8 +186,8 @@
     server.draining = True
     published = world.now
     world.store.put(server)
-    process.node._exchange.on_changes = lambda *_: None
-    process.node._exchange.on_alerts = lambda *_: None
+    process.node._synchronizer.on_changes = lambda *_: None
+    process.node._synchronizer.on_alerts = lambda *_: None
     world.run(1.5)
     process.wake()
     assert world.now - process.node.alerts_age_s <= published
@@ -205,8 +205,8 @@
     """
     world = packet_world.small_world(balancers=4, servers=6)
     lagging = world.balancers()[-1].node
-    lagging._exchange.on_changes = lambda *_: None
-    lagging._exchange.on_alerts = lambda *_: None
+    lagging._synchronizer.on_changes = lambda *_: None
+    lagging._synchronizer.on_alerts = lambda *_: None
     lagging.read_if_due = lambda now: None
     others = [
         process.host
--- a/tests/packets/test_readers.py
+++ b/tests/packets/test_readers.py
@@ -73,8 +73,8 @@
 
 def _never_told(process: packet_world.Process) -> None:
     """Let a process get no changes, as when nobody has bytes to send them."""
-    process.node._exchange.on_changes = lambda *_: None
-    process.node._exchange.on_alerts = lambda *_: None
+    process.node._synchronizer.on_changes = lambda *_: None
+    process.node._synchronizer.on_alerts = lambda *_: None
 
 
 def _hears_only_who_lags(
@@ -275,7 +275,7 @@
     world = packet_world.small_world(balancers=4, servers=13)
     world.run(3.0)
     process = world.processes[sorted(world.servers)[3]]
-    process.node._exchange.on_changes = lambda *_: None
+    process.node._synchronizer.on_changes = lambda *_: None
     routes = [packet_world.route('tickets')]
     if change == 'added':
         routes = [packet_world.route('dispatch', port=p) for p in (443, 2000)]
