--- a/packages/teaseldock-edge/teaseldock_edge/admin.py
+++ b/packages/teaseldock-edge/teaseldock_edge/admin.py
@@ -30,7 +30,7 @@
     'announcements_waiting',
 )
 #: Single numbers of the status that are counters; all others are gauges.
-RISING = frozenset(
+COUNTER_KEYS = frozenset(
     {
         'documents_refused',
         'packets_passed',
@@ -82,7 +82,7 @@
 
 def _number_metric(name: str, key: str, value: float) -> core.Metric:
     text = key.replace('_', ' ')
-    if key in RISING:
+    if key in COUNTER_KEYS:
         return core.CounterMetricFamily(name, text, value=value)
     return core.GaugeMetricFamily(name, text, value=value)
 
--- a/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/documents_exchange.py
@@ -19,7 +19,7 @@
 #: Time limit of one fetch, seconds.
 FETCH_TIMEOUT_S = 2.0
 #: gzip level; the lowest already reduces a document to a quarter.
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 
 Offer = typing.Callable[[list[configuration.Document]], None]
 Count = typing.Callable[[str, object, int], None]
@@ -47,7 +47,7 @@
             return
         answer = self._exchange.answer(message)
         if 'gzip' in self.request.headers.get('Accept-Encoding', ''):
-            answer = gzip.compress(answer, COMPRESSION, mtime=0)
+            answer = gzip.compress(answer, COMPRESSION_LEVEL, mtime=0)
             self.set_header('Content-Encoding', 'gzip')
         self._exchange.count_sent(len(answer))
         self.write(answer)
--- a/packages/teaseldock-edge/teaseldock_edge/http_exchange.py
+++ b/packages/teaseldock-edge/teaseldock_edge/http_exchange.py
@@ -19,13 +19,13 @@
 BACKLOG = 64
 #: Seconds without a request after which a page server closes a connection.
 #: A client that sends two requests a second keeps its connection.
-IDLE_S = 10.0
+IDLE_TIMEOUT_S = 10.0
 #: Time limits of an answer that has begun to arrive, seconds: longest gap
 #: between two parts once the request has timed out, and longest total time.
 #: 300 KB take 1.2 s on an otherwise idle link of 2 Mbit/s; with a fixed
 #: timeout of 1.5 s the client restarted such a read again and again.
-STALL_S = 0.5
-LONGEST_ANSWER_S = 10.0
+MAX_GAP_S = 0.5
+MAX_ANSWER_S = 10.0
 #: Largest request that a page server reads.
 MAX_REQUEST_BYTES = 8192
 
@@ -169,8 +169,8 @@
     def _extend_timeout(self) -> None:
         """Extend the time limit of an answer that has begun to arrive."""
         now = self._loop.now()
-        until = max(self._started_at + self._timeout_s, now + STALL_S)
-        until = min(until, self._started_at + LONGEST_ANSWER_S)
+        until = max(self._started_at + self._timeout_s, now + MAX_GAP_S)
+        until = min(until, self._started_at + MAX_ANSWER_S)
         self._timer.cancel()
         self._timer = self._loop.after(max(0.0, until - now), self._time_out)
 
@@ -253,10 +253,10 @@
     def _close_if_idle(self) -> None:
         if self._socket is None:
             return
-        if self._loop.now() - self._last_read_at > IDLE_S:
+        if self._loop.now() - self._last_read_at > IDLE_TIMEOUT_S:
             self.close()
             return
-        self._loop.after(IDLE_S, self._close_if_idle)
+        self._loop.after(IDLE_TIMEOUT_S, self._close_if_idle)
 
     def on_url(self, url: bytes) -> None:
         self._path += url
--- a/packages/teaseldock-edge/teaseldock_edge/line_log.py
+++ b/packages/teaseldock-edge/teaseldock_edge/line_log.py
@@ -14,13 +14,13 @@
 #: Rate and burst size of the token bucket that limits lines. A line takes
 #: about 15 us and 250 bytes: at this rate 0.5 % of a core and 75 KB/s.
 LINES_PER_S = 300.0
-LINES_AT_ONCE = 600.0
+BURST_LINES = 600.0
 #: Largest queue of lines while the output is slow; further lines are dropped.
-LINES_WAITING = 2000
+MAX_QUEUED_LINES = 2000
 #: Lines written by one system call.
-LINES_A_WRITE = 100
+LINES_PER_WRITE = 100
 #: Seconds between two log lines with the number of dropped lines.
-SUMMARY_S = 5.0
+SUMMARY_INTERVAL_S = 5.0
 _ENCODER = msgspec.json.Encoder()
 
 
@@ -36,7 +36,7 @@
         self._fd = fd
         self._now = now
         self._name = ''
-        self._tokens = LINES_AT_ONCE
+        self._tokens = BURST_LINES
         self._refilled_at = now()
         self._waiting: collections.deque[bytes] = collections.deque()
         self._unwritten = b''
@@ -57,9 +57,9 @@
         """Queue one line; drop and count it above the limits."""
         now = self._now()
         refill = (now - self._refilled_at) * LINES_PER_S
-        self._tokens = min(LINES_AT_ONCE, self._tokens + refill)
+        self._tokens = min(BURST_LINES, self._tokens + refill)
         self._refilled_at = now
-        if self._tokens < 1 or len(self._waiting) >= LINES_WAITING:
+        if self._tokens < 1 or len(self._waiting) >= MAX_QUEUED_LINES:
             self._dropped += 1
             return
         self._tokens -= 1
@@ -83,12 +83,12 @@
         A timer must call this regularly.
         """
         now = self._now()
-        if self._dropped and now - self._summary_at >= SUMMARY_S:
+        if self._dropped and now - self._summary_at >= SUMMARY_INTERVAL_S:
             self._summary_at = now
             self._append('lines dropped', {'so_far': self._dropped}, now)
         while self._unwritten or self._waiting:
             if not self._unwritten:
-                count = min(LINES_A_WRITE, len(self._waiting))
+                count = min(LINES_PER_WRITE, len(self._waiting))
                 self._unwritten = b''.join(
                     self._waiting.popleft() for _ in range(count)
                 )
--- a/packages/teaseldock-edge/teaseldock_edge/platform_client.py
+++ b/packages/teaseldock-edge/teaseldock_edge/platform_client.py
@@ -19,11 +19,11 @@
 LOG = logbook.Logger('platform')
 
 #: Time that the platform may hold one watch open, seconds.
-WATCH_S = 20.0
+MAX_WATCH_S = 20.0
 #: Seconds between two attempts while the platform is down, plus or minus 25 %.
 RETRY_S = 0.5
 #: Seconds after which a process that is not a reader checks its role again.
-IDLE_S = 1.0
+ROLE_CHECK_S = 1.0
 #: Largest answer, bytes; it holds all parts of register and rules.
 MAX_ANSWER_BYTES = 64_000_000
 #: HTTP status 304, Not Modified.
@@ -185,10 +185,10 @@
         first = True
         while True:
             if not first and not self._node.is_reader:
-                await self._sleep(IDLE_S)
+                await self._sleep(ROLE_CHECK_S)
                 continue
             # The first read returns the current documents without waiting.
-            wait_s = 0 if first else WATCH_S
+            wait_s = 0 if first else MAX_WATCH_S
             since = self._node.config.digest.generation
             path = f'/v1/documents?since={since}&wait_s={wait_s:g}'
             answer = await self._get(path, timeout_s=wait_s + 3)
--- a/packages/teaseldock-edge/teaseldock_edge/program.py
+++ b/packages/teaseldock-edge/teaseldock_edge/program.py
@@ -29,7 +29,7 @@
 #: Seconds between two checks whether a graceful stop is complete.
 STOP_CHECK_S = 0.1
 #: Seconds between two pings to the initial peers until a peer has answered.
-GREET_S = 1.0
+PING_INTERVAL_S = 1.0
 
 
 class Program(abc.ABC):
@@ -178,7 +178,7 @@
     def _ping_initial_peers(self, now: float) -> None:
         if (
             self._node.members.synchronised
-            or now - self._peers_pinged_at < GREET_S
+            or now - self._peers_pinged_at < PING_INTERVAL_S
         ):
             return
         self._peers_pinged_at = now
--- a/packages/teaseldock-edge/teaseldock_edge/settings.py
+++ b/packages/teaseldock-edge/teaseldock_edge/settings.py
@@ -9,7 +9,7 @@
 from teaseldock import flow
 
 ENVIRONMENT_PREFIX = 'TEASELDOCK_'
-_NAME = re.compile('^[a-z0-9][a-z0-9-]{0,62}$')
+_NAME_PATTERN = re.compile('^[a-z0-9][a-z0-9-]{0,62}$')
 _MIN_KEY_BYTES = 16
 
 
@@ -171,7 +171,7 @@
 def _parse_value(setting: Setting, text: str) -> typing.Any:
     match setting.kind:
         case 'name':
-            if not _NAME.match(text):
+            if not _NAME_PATTERN.match(text):
                 raise ValueError('allowed: lower-case letters, digits, dashes')
             return text
         case 'endpoint':
--- a/packages/teaseldock-edge/teaseldock_edge/sockets.py
+++ b/packages/teaseldock-edge/teaseldock_edge/sockets.py
@@ -15,7 +15,7 @@
 #: Largest UDP datagram over IPv4.
 MAX_DATAGRAM_BYTES = 65535
 #: Datagrams received in one callback before timers can run.
-BATCH = 128
+DATAGRAMS_PER_BATCH = 128
 #: Size of each kernel buffer, bytes; it absorbs bursts.
 BUFFER_BYTES = 4_000_000
 
@@ -89,7 +89,7 @@
         self._socket.close()
 
     def _on_readable(self, _: typing.Any, events: int) -> None:
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_BATCH):
             try:
                 datagram, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
--- a/packages/teaseldock-edge/teaseldock_edge/traffic.py
+++ b/packages/teaseldock-edge/teaseldock_edge/traffic.py
@@ -10,7 +10,7 @@
 #: control traffic.
 DATA_MESSAGES = (messages.Execute, messages.Executed)
 #: Window of the rate, seconds; it averages shorter bursts.
-WINDOW_S = 5.0
+RATE_WINDOW_S = 5.0
 
 
 class Traffic:
@@ -57,7 +57,7 @@
         self._totals[f'{kind}_messages_{direction}'] += 1
         if kind == 'control' and direction == 'sent':
             self._window_bytes += size
-        if now - self._window_start >= WINDOW_S:
+        if now - self._window_start >= RATE_WINDOW_S:
             self._rate = self._window_bytes / (now - self._window_start)
             self._highest_rate = max(self._highest_rate, self._rate)
             self._window_start = now
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -122,7 +122,7 @@
     async def _foreign_entry(self) -> None:
         """Write an invalid entry under a new key or over a server's entry."""
         server = self._random.choice(self._world.servers)
-        odd = self._random.choice(documents.ODD_ENTRIES)
+        odd = self._random.choice(documents.UNUSABLE_ENTRIES)
         if self._random.random() < 0.5 or not server.up:
             key = documents.server_key(f'odd-{len(self.injected)}')
             self._world.store.put(key, odd)
--- a/soak/network.py
+++ b/soak/network.py
@@ -112,7 +112,7 @@
         flow = Flow(src, sport, dport)
     else:
         flow = Flow(dst, dport, sport)
-    body = raw[packet_head.HEAD_BYTES :]
+    body = raw[packet_head.HEADER_BYTES :]
     return Packet(flow, flags, seq, ack, body, checksum != CHECKSUM)
 
 
--- a/tests/edge/test_line_log.py
+++ b/tests/edge/test_line_log.py
@@ -58,8 +58,8 @@
     log = line_log.LineLog(write_fd, now=clock)
     for _ in range(5000):
         log.note('refused')
-    assert log.dropped == 5000 - line_log.LINES_AT_ONCE
-    clock.now = line_log.SUMMARY_S + 1
+    assert log.dropped == 5000 - line_log.BURST_LINES
+    clock.now = line_log.SUMMARY_INTERVAL_S + 1
     log.flush()
     lines = read_lines(read_fd)
     assert lines[-1]['event'] == 'lines dropped'
