--- a/packages/teaseldock/teaseldock/audit.py
+++ b/packages/teaseldock/teaseldock/audit.py
@@ -6,7 +6,7 @@
 import typing
 
 #: Records that a process keeps; older ones are in the log only.
-AUDIT_LENGTH = 512
+MAX_RECORDS = 512
 
 
 class AuditRecord(typing.NamedTuple):
@@ -31,7 +31,7 @@
 class AuditTrail:
     """Hold the latest records and return new ones once, for the log."""
 
-    def __init__(self, *, length: int = AUDIT_LENGTH) -> None:
+    def __init__(self, *, length: int = MAX_RECORDS) -> None:
         """Create an empty audit trail.
 
         :param length: number of records kept.
--- a/packages/teaseldock/teaseldock/challenged.py
+++ b/packages/teaseldock/teaseldock/challenged.py
@@ -7,7 +7,7 @@
 #: Limit of recorded messages of about 150 bytes each; the oldest are evicted
 #: first. Copies can be delayed by seconds, and at 460,000 new flows per second
 #: over 54,000 targets each target challenges nine messages per second.
-MESSAGES_KEPT = 4096
+MAX_MESSAGES = 4096
 
 
 class ChallengedMessages:
@@ -36,5 +36,5 @@
         :param key: flow key followed by the request's exchange.
         """
         self._exchanges[key] = None
-        if len(self._exchanges) > MESSAGES_KEPT:
+        if len(self._exchanges) > MAX_MESSAGES:
             self._exchanges.popitem(last=False)
--- a/packages/teaseldock/teaseldock/coordinator.py
+++ b/packages/teaseldock/teaseldock/coordinator.py
@@ -20,11 +20,11 @@
     from teaseldock import table
 
 #: Seconds until a forwarded request without an answer is sent again.
-REPEAT_S = 0.25
+RETRANSMIT_S = 0.25
 #: Seconds after which a forwarded request without an answer times out.
 FORWARD_TIMEOUT_S = executor.ANSWER_TIMEOUT_S + 1.0
 #: Targets that are tried before the caller gets a refusal.
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 #: Retries earned by each request; bounds the share of requests that run again
 #: after an unknown outcome.
 RETRY_SHARE = 0.1
@@ -163,7 +163,7 @@
     ) -> list[messages.Action]:
         """Submit or forward a request to the best target not tried yet."""
         actions: list[messages.Action] = []
-        while len(pending.tried) < ATTEMPTS:
+        while len(pending.tried) < MAX_ATTEMPTS:
             name = self._choose(pending, now)
             if name is None:
                 break
@@ -219,7 +219,7 @@
     ) -> list[messages.Action]:
         pending.assignee = name
         pending.incarnation = self._shared.view.incarnation(name)
-        pending.repeat_at = now + REPEAT_S
+        pending.repeat_at = now + RETRANSMIT_S
         pending.consented = pending.request.idempotent
         self._pending[call] = pending
         self._loads.record_sent(name, now, weight=pending.weight)
@@ -424,7 +424,7 @@
             return self._on_unknown_outcome(pending, now)
         if now < pending.repeat_at:
             return []
-        pending.repeat_at = now + REPEAT_S
+        pending.repeat_at = now + RETRANSMIT_S
         self._shared.counters['hand_on_repeats'] += 1
         return self._send_execute(pending, call, now)
 
--- a/packages/teaseldock/teaseldock/drain.py
+++ b/packages/teaseldock/teaseldock/drain.py
@@ -13,16 +13,16 @@
     from teaseldock import table
 
 #: Limit of unacknowledged transfers.
-TRANSFERS_AT_ONCE = 32
+MAX_TRANSFERS = 32
 #: Seconds until a transfer without acknowledgement is sent again.
-REPEAT_S = 0.3
+RETRY_S = 0.3
 #: Limit of flows without state that are released in one tick.
-RELEASES_PER_TICK = 200
+MAX_RELEASES_PER_TICK = 200
 #: Limit of answer bytes in one transfer; it fits into one datagram.
-RESULT_BYTES = 8_000
+MAX_RESULT_BYTES = 8_000
 #: Maximum age of a transferred answer, seconds: a caller retransmits a message
 #: after 2 to 3 s, and again after another 4 to 6 s.
-RESULT_AGE_S = 10.0
+MAX_RESULT_AGE_S = 10.0
 #: Bytes of an empty transfer and its acknowledgement.
 MESSAGE_BYTES = 250
 
@@ -76,14 +76,14 @@
         actions = self.repeat_transfers(now)
         releases = 0
         for flow in list(self._holder.flows):
-            if releases >= RELEASES_PER_TICK:
+            if releases >= MAX_RELEASES_PER_TICK:
                 break
             if flow in self._transfers or not self._holder.may_move(flow, now):
                 continue
             if not self._has_state(flow, now):
                 actions += self._release_flow(flow, now)
                 releases += 1
-            elif len(self._transfers) < TRANSFERS_AT_ONCE:
+            elif len(self._transfers) < MAX_TRANSFERS:
                 if self._shared.budget.has_room(now):
                     actions += self._transfer(flow, now)
         return actions
@@ -172,7 +172,7 @@
         name = to or self.destination_of(flow, now)
         if name is None:
             return []
-        self._transfers[flow] = (name, now + REPEAT_S)
+        self._transfers[flow] = (name, now + RETRY_S)
         feeds = self._holder.feeds.export(flow)
         results = self._results(flow, now)
         size = sum(len(item.request) for item in feeds)
@@ -192,8 +192,8 @@
         if not self._shared.view.is_leaving:
             return []
         chosen: list[messages.Result] = []
-        room = RESULT_BYTES
-        since = now - RESULT_AGE_S
+        room = MAX_RESULT_BYTES
+        since = now - MAX_RESULT_AGE_S
         known = self._holder.coordinator.exchanges
         results = known.results(flow, since=since)
         for item in reversed(results):
@@ -213,7 +213,7 @@
         if not self._holder.may_move(message.flow, now):
             # A request arrived in the meantime. The transfer is repeated to
             # the same receiver, which already holds the flow.
-            self._transfers[message.flow] = (message.sender, now + REPEAT_S)
+            self._transfers[message.flow] = (message.sender, now + RETRY_S)
             return []
         self._moved[message.flow] = message.sender
         self._shared.counters['flows_moved'] += 1
--- a/packages/teaseldock/teaseldock/exchanges.py
+++ b/packages/teaseldock/teaseldock/exchanges.py
@@ -12,7 +12,7 @@
     from teaseldock.codecs import base
 
 #: Bytes of answers stored for retransmissions; the oldest are evicted first.
-ANSWER_BYTES = 8_000_000
+MAX_ANSWER_BYTES = 8_000_000
 #: Seconds within which retransmissions of one message can arrive.
 EXCHANGE_LIFETIME_S = challenge.CHALLENGE_LIFETIME_S
 
@@ -124,7 +124,7 @@
         exchange.answer = answer
         self._answers.append(exchange)
         self._answer_bytes += len(answer)
-        while self._answer_bytes > ANSWER_BYTES:
+        while self._answer_bytes > MAX_ANSWER_BYTES:
             oldest = self._answers.popleft()
             self._answer_bytes -= len(oldest.answer or b'')
             oldest.answer = None
--- a/packages/teaseldock/teaseldock/executor.py
+++ b/packages/teaseldock/teaseldock/executor.py
@@ -17,9 +17,9 @@
 #: Service time assumed before the first answer, seconds.
 INITIAL_SERVICE_S = 0.05
 #: Weight of a new sample in the moving average of the service time.
-SMOOTHING = 0.05
+SAMPLE_WEIGHT = 0.05
 #: Seconds of slow start, over which a cold server's slots are opened.
-RAMP_S = 4.0
+SLOW_START_S = 4.0
 #: Seconds for which one slot is closed after the server has shed a request.
 SHED_PENALTY_S = 1.0
 #: Seconds after which a request without an answer times out.
@@ -118,7 +118,7 @@
         )
 
     def _usable_slots(self, now: float) -> int:
-        warm = min(1.0, (now - self._started_at) / RAMP_S)
+        warm = min(1.0, (now - self._started_at) / SLOW_START_S)
         usable = max(1, round(self._slots * warm))
         if now < self._shed_until:
             usable = max(1, usable - 1)
@@ -198,7 +198,7 @@
             self._shed_until = now + SHED_PENALTY_S
         else:
             elapsed = now - started_at
-            self._service_s += SMOOTHING * (elapsed - self._service_s)
+            self._service_s += SAMPLE_WEIGHT * (elapsed - self._service_s)
         started, refused = self._fill_slots(now)
         return job, started, refused
 
--- a/packages/teaseldock/teaseldock/placement.py
+++ b/packages/teaseldock/teaseldock/placement.py
@@ -10,7 +10,7 @@
 from teaseldock import load as loads
 
 #: Peers compared for one choice; bounds the cost in large services.
-CANDIDATES = 8
+MAX_CANDIDATES = 8
 #: Load reports piggybacked on one message.
 REPORTS_PER_MESSAGE = 8
 #: Seconds after which a report is stale. Reports arrive at least twice in this
@@ -187,8 +187,8 @@
             and now - peer.last_seen_at < silence_s
             and usable(name)
         ]
-        if len(found) > CANDIDATES:
-            return self._random.sample(found, CANDIDATES)
+        if len(found) > MAX_CANDIDATES:
+            return self._random.sample(found, MAX_CANDIDATES)
         return found
 
     def choose_for_request(
--- a/packages/teaseldock/teaseldock/server_probe.py
+++ b/packages/teaseldock/teaseldock/server_probe.py
@@ -9,7 +9,7 @@
 BUSY_INTERVAL_S = 0.5
 IDLE_INTERVAL_S = 2.0
 #: Unanswered probes after which the server counts as down.
-PROBES_UNANSWERED = 3
+MAX_UNANSWERED_PROBES = 3
 
 
 class Step(enum.Enum):
@@ -48,6 +48,6 @@
             return Step.NOTHING
         self._last_at = now
         self._unanswered += 1
-        if self._unanswered == PROBES_UNANSWERED + 1:
+        if self._unanswered == MAX_UNANSWERED_PROBES + 1:
             return Step.LOST
         return Step.PROBE
--- a/tests/packets/test_moved_routes.py
+++ b/tests/packets/test_moved_routes.py
@@ -142,6 +142,6 @@
         for process in world.processes.values()
     ]
     assert world.events('flow lost')
-    # Four servers of the service: the balancer's questions, an errand, and
-    # the relay's questions.
+    # Four servers of the service: the balancer's questions, a relay
+    # request, and the relay's questions.
     assert sum(asked) - sum(before) <= 13 * len(feeds)
