--- a/bench/packet_costs.py
+++ b/bench/packet_costs.py
@@ -199,7 +199,7 @@
         'bytes_a_tracked_flow': round(
             mean_kept_bytes(
                 lambda n: tracker._add_flow(flow(n), 0.0, 0.0),
-                tracking.FLOWS_TRACKED,
+                tracking.MAX_FLOWS,
             )
         ),
         'asked_whom_us': {
--- a/bench/packet_news.py
+++ b/bench/packet_news.py
@@ -139,7 +139,7 @@
             )
             if self._is_disrupted(host, now) or refused_until > now:
                 continue
-            if process.node._reading.calling:
+            if process.node._read_schedule.calling:
                 # While a process waits for the store, it receives any change
                 # at once. Its proof is renewed only when the store answers
                 # that there is none.
--- a/packages/teaseldock/teaseldock/packets/admission.py
+++ b/packages/teaseldock/teaseldock/packets/admission.py
@@ -23,16 +23,16 @@
 
 #: Terms of requests without a known route: an agent that has no configuration
 #: yet must not delay requests for long.
-UNKNOWN_TERMS = dispatching.Terms(0.15, 2.5, 0, guarded=False)
+DEFAULT_TERMS = dispatching.Terms(0.15, 2.5, 0, guarded=False)
 #: Share of failed requests above which the server is logged as failing: two
 #: consecutive failures.
-FAILING_NOTED = 0.35
+FAILING_THRESHOLD = 0.35
 #: Slots assumed before the server's entry is known: every server can run one
 #: request at a time.
-UNKNOWN_SLOTS = 1
+DEFAULT_SLOTS = 1
 
 ToServer = typing.Callable[['packet.Packet', str], None]
-Inputs = typing.Callable[[], dict[str, typing.Any]]
+LogFields = typing.Callable[[], dict[str, typing.Any]]
 
 
 class Admission:
@@ -45,7 +45,7 @@
         warming_state: warming.ColdLimiter,
         *,
         to_server: ToServer,
-        inputs: Inputs,
+        log_fields: LogFields,
         reporter: reporting.Reporter,
         meters: reporting.Meters,
         now: float,
@@ -54,20 +54,20 @@
 
         :param to_server: sends a packet to the server; its second argument is
             the host of the balancer that sent the packet.
-        :param inputs: returns the configuration version, store revision and
-            era in use, for log lines.
+        :param log_fields: returns the configuration version, store revision
+            and era in use, for log lines.
         """
         self._tracker = tracker
         self._knowledge = known
         self._warming = warming_state
         self._to_server = to_server
-        self._inputs = inputs
+        self._log_fields = log_fields
         self._reporter = reporter
         self._meters = meters
         self._queue = dispatching.RequestQueue()
         self._outcomes = outcomes.Outcomes(now)
         self._reported_failing = False
-        self._slots = UNKNOWN_SLOTS
+        self._slots = DEFAULT_SLOTS
 
     @property
     def queue(self) -> dispatching.RequestQueue:
@@ -142,7 +142,10 @@
         left = self._warming.requests_left(now)
         if left is None:
             return self._slots
-        return min(self._slots, self._queue.running + left - dispatching.AHEAD)
+        return min(
+            self._slots,
+            self._queue.running + left - dispatching.EXTRA_REQUESTS,
+        )
 
     def _terms(self, flow: bytes) -> dispatching.Terms | None:
         """Return the terms of a flow's requests; None for uploads.
@@ -152,7 +155,7 @@
         """
         route = self._knowledge.route(flows.packed_service_endpoint(flow))
         if route is None:
-            return UNKNOWN_TERMS
+            return DEFAULT_TERMS
         if route.kind == records.RequestKind.UPLOAD:
             return None
         return dispatching.Terms(
@@ -233,7 +236,7 @@
                 running=self._queue.running,
                 waiting=self._queue.waiting,
                 service_ms=round(self._queue.service_s * 1000, 1),
-                **self._inputs(),
+                **self._log_fields(),
             )
         self.release(now)
 
@@ -247,15 +250,15 @@
             failing=self.failing(now),
             running=self._queue.running,
             waiting=self._queue.waiting,
-            **self._inputs(),
+            **self._log_fields(),
         )
         self._note_failing_change(now)
 
     def _note_failing_change(self, now: float) -> None:
         failing = self.failing(now)
-        if (failing > FAILING_NOTED) == self._reported_failing:
+        if (failing > FAILING_THRESHOLD) == self._reported_failing:
             return
-        self._reported_failing = failing > FAILING_NOTED
+        self._reported_failing = failing > FAILING_THRESHOLD
         self._reporter.note(
             (
                 'server fails requests'
@@ -264,5 +267,5 @@
             ),
             failing=failing,
             running=self._queue.running,
-            **self._inputs(),
+            **self._log_fields(),
         )
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -31,8 +31,8 @@
 #: Seconds without a heartbeat of any agent after which some agents are
 #: queried, and their number. A balancer that no agent reports to must detect
 #: whether it is cut off.
-QUIET_S = 0.5
-QUERIED_WHEN_QUIET = 3
+SILENCE_S = 0.5
+AGENTS_QUERIED_ON_SILENCE = 3
 _SHARE_KEY = b'teaseldock-share'
 
 
@@ -57,9 +57,9 @@
         self._locator = locating.Locator(
             self._targets,
             forward=self._forward,
-            inputs=lambda: self._flow_inputs,
+            log_fields=lambda: self._log_fields,
             control_bytes=self._budget,
-            catch_up=self._exchange.pull,
+            request_changes=self._synchronizer.pull,
             io=self._io,
             reporter=self._reporter,
             meters=self._meters,
@@ -144,13 +144,13 @@
 
         Otherwise a balancer that no agent reports to looks cut off.
         """
-        if now - max(self._agent_heard_at, self._queried_quiet_at) < QUIET_S:
+        if now - max(self._agent_heard_at, self._queried_quiet_at) < SILENCE_S:
             return
         self._queried_quiet_at = now
         hosts = sorted(
             {item.host for item in self._knowledge.targets.values()}
         )
-        count = min(QUERIED_WHEN_QUIET, len(hosts))
+        count = min(AGENTS_QUERIED_ON_SILENCE, len(hosts))
         for host in self._random.sample(hosts, count):
             self._query_load(host, now)
 
@@ -343,7 +343,7 @@
             load_age_ms=round(chosen.age_s * 1000),
             candidates=len(usable),
             answered=len(answered),
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._forward(item, hint)
 
@@ -359,7 +359,7 @@
             flow=reporting.flow_text(item.flow),
             why=why,
             denied=denied,
-            **self._flow_inputs,
+            **self._log_fields,
         )
         self._io.reset_caller(item)
 
