--- a/packages/teaseldock/teaseldock/directory.py
+++ b/packages/teaseldock/teaseldock/directory.py
@@ -118,7 +118,7 @@
             elif bucket not in self._owned:
                 self._early_confirmations[name, bucket] = now
 
-    def peers_to_ask(
+    def peers_to_query(
         self, bucket: int, peers: typing.Iterable[str], now: float
     ) -> set[str]:
         """Return the peers that may hold an unknown flow of a bucket.
--- a/packages/teaseldock/teaseldock/owner.py
+++ b/packages/teaseldock/teaseldock/owner.py
@@ -100,7 +100,7 @@
         if known is not None:
             self._directory.remove_holder(packet.flow)
         peers = self._shared.view.peers(self._service)
-        to_ask = self._directory.peers_to_ask(bucket, peers, now)
+        to_ask = self._directory.peers_to_query(bucket, peers, now)
         if to_ask and self._holder.answers_challenge(packet):
             # The flow's holder would forward the request to its challenger,
             # too. Waiting here for silent peers would last until the caller
--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -99,7 +99,7 @@
     @property
     def has_no_requests(self) -> bool:
         """Return whether every request has been answered."""
-        return not self._tracker.asked
+        return not self._tracker.pending_requests
 
     @property
     def own_target(self) -> records.Target | None:
@@ -300,7 +300,7 @@
             # The address has been reassigned to another service. Without this
             # check a balancer with the old entry would send callers to the
             # wrong service, visible only in the log of the wrong server.
-            self._give_back(
+            self._return_packet(
                 envelope.body, envelope.tag, host, Reason.OTHER_SERVICE
             )
             return
@@ -310,15 +310,15 @@
             # A copy of an opening that the server has accepted is forwarded.
             # If it were returned, a balancer without another target would
             # reset the flow while it opens here.
-            self._give_back(item.raw, self._tag, host, refusal)
-            self._note_given_back(item, host, refusal)
+            self._return_packet(item.raw, self._tag, host, refusal)
+            self._log_returned_packet(item, host, refusal)
             return
         if not item.opening and not self._tracker.belongs(item):
             # Keep tracking the flow: without the server's initial sequence
             # number, the agent would forward the flow's next packet, and the
             # server would reset the flow.
-            self._note_given_back(item, host, Reason.NOT_HELD)
-            self._give_back(item.raw, self._tag, host, Reason.NOT_HELD)
+            self._log_returned_packet(item, host, Reason.NOT_HELD)
+            self._return_packet(item.raw, self._tag, host, Reason.NOT_HELD)
             return
         if item.opening:
             self._warming.note_opening(now)
@@ -354,7 +354,7 @@
             return Reason.COLD
         return None
 
-    def _note_given_back(
+    def _log_returned_packet(
         self, item: packet.Packet, host: str, reason: Reason
     ) -> None:
         self._meters.counters[f'given_back_{reason.name.lower()}'] += 1
@@ -368,7 +368,7 @@
             **self._log_fields,
         )
 
-    def _give_back(
+    def _return_packet(
         self, raw: bytes, tag: int, host: str, reason: Reason
     ) -> None:
         self._io.to_process(
@@ -418,7 +418,7 @@
         if item.token == _NO_TOKEN:
             self._meters.counters['dropped_returned'] += 1
             return
-        self._note_given_back(item, host, Reason.NOT_HELD)
-        self._give_back(
+        self._log_returned_packet(item, host, Reason.NOT_HELD)
+        self._return_packet(
             self._io.original(item), self._tag, host, Reason.NOT_HELD
         )
--- a/packages/teaseldock/teaseldock/packets/balancer.py
+++ b/packages/teaseldock/teaseldock/packets/balancer.py
@@ -67,7 +67,7 @@
         self._load_queries = load_query.LoadQueries()
         self._removed: set[tuple[str, int]] = set()
         self._agent_heard_at = 0.0
-        self._queried_quiet_at = 0.0
+        self._silence_query_at = 0.0
         self._early_packets: collections.deque[tuple[packet.Packet, float]] = (
             collections.deque(maxlen=MAX_EARLY_PACKETS)
         )
@@ -137,16 +137,16 @@
             self._meters.counters['placed_without_answers'] += 1
             self._place_after_query(waiting, now)
         self._locator.tick(now)
-        self._query_if_quiet(now)
+        self._query_if_silent(now)
 
-    def _query_if_quiet(self, now: float) -> None:
+    def _query_if_silent(self, now: float) -> None:
         """Query some agents if no heartbeat has arrived for a while.
 
         Otherwise a balancer that no agent reports to looks cut off.
         """
-        if now - max(self._agent_heard_at, self._queried_quiet_at) < SILENCE_S:
+        if now - max(self._agent_heard_at, self._silence_query_at) < SILENCE_S:
             return
-        self._queried_quiet_at = now
+        self._silence_query_at = now
         hosts = sorted(
             {item.host for item in self._knowledge.targets.values()}
         )
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -85,8 +85,8 @@
         if not self._budget.allows(control_budget.Purpose.SEARCH, now):
             self._meters.counters['questions_delayed'] += 1
             return
-        for host in search.hosts_to_ask():
-            search.asked(host)
+        for host in search.hosts_to_query():
+            search.note_query(host)
             self._send(host, control.pack(control.KIND_LOCATE, 0, 0, flow))
         if not search.hosts_for_relays(now):
             return
--- a/packages/teaseldock/teaseldock/packets/searching.py
+++ b/packages/teaseldock/teaseldock/packets/searching.py
@@ -134,7 +134,7 @@
         """Replace the hosts that may hold the flow."""
         self._hosts = hosts
 
-    def hosts_to_ask(self) -> list[str]:
+    def hosts_to_query(self) -> list[str]:
         """Return the hosts that the balancer has yet to query itself."""
         return [
             host
@@ -142,7 +142,7 @@
             if host not in self._asked and host not in self._denied
         ]
 
-    def asked(self, host: str) -> None:
+    def note_query(self, host: str) -> None:
         """Record that the balancer has queried a host."""
         self._asked.add(host)
 
--- a/packages/teaseldock/teaseldock/packets/tracking.py
+++ b/packages/teaseldock/teaseldock/packets/tracking.py
@@ -132,7 +132,7 @@
         return self._addresses
 
     @property
-    def asked(self) -> int:
+    def pending_requests(self) -> int:
         """Return the number of flows with an unanswered request."""
         return self._pending_requests
 
@@ -190,7 +190,7 @@
 
     def mark_not_held(self, flow: bytes, now: float) -> None:
         """Record that the server does not hold a flow."""
-        self.forget(flow)
+        self.stop_tracking(flow)
         self._not_held[flow] = now
         if len(self._not_held) > MAX_FLOWS:
             self._not_held.popitem(last=False)
@@ -237,7 +237,7 @@
                 self._unanswered_openings.popitem(last=False)
             return None
         if item.resetting:
-            self.forget(item.flow)
+            self.stop_tracking(item.flow)
             return None
         tracked = self._flows.get(item.flow)
         if tracked is None:
@@ -280,7 +280,7 @@
         tracked = self._flows[flow] = _Flow(delay_s, now)
         self._addresses.add(flows.packed_service_endpoint(flow))
         if len(self._flows) > MAX_FLOWS:
-            self.forget(next(iter(self._flows)))
+            self.stop_tracking(next(iter(self._flows)))
         return tracked
 
     def from_server(self, item: packet.Packet, now: float) -> float | None:
@@ -321,7 +321,7 @@
 
     def _mark_ended(self, flow: bytes, now: float) -> None:
         """Record that the server has ended a flow."""
-        self.forget(flow)
+        self.stop_tracking(flow)
         self._ended[flow] = now
         if len(self._ended) > MAX_FLOWS:
             self._ended.popitem(last=False)
@@ -339,7 +339,7 @@
         """Drop a flow whose packet the server has returned."""
         self._unanswered_openings.pop(flow, None)
         self._ended.pop(flow, None)
-        self.forget(flow)
+        self.stop_tracking(flow)
 
     def server_restarted(self) -> None:
         """Mark all flows as unconfirmed, since the server has restarted.
@@ -359,7 +359,7 @@
         self._mean_requests = 0.0
         self._unanswered_openings.clear()
 
-    def forget(self, flow: bytes) -> None:
+    def stop_tracking(self, flow: bytes) -> None:
         """Stop tracking a flow."""
         tracked = self._flows.pop(flow, None)
         if tracked is not None and tracked.asked_at is not None:
@@ -376,7 +376,7 @@
             if now - tracked.seen_at > idle_s + IDLE_MARGIN_S
         ]
         for flow in stale:
-            self.forget(flow)
+            self.stop_tracking(flow)
         for recent_flows in (self._ended, self._not_held):
             while recent_flows:
                 flow, since = next(iter(recent_flows.items()))
--- a/tests/packets/test_searching.py
+++ b/tests/packets/test_searching.py
@@ -33,10 +33,10 @@
     Relays start when all four have answered, or after 20 ms.
     """
     search = searching.Search(HOSTS, 0.0)
-    assert search.hosts_to_ask() == HOSTS[:4]
+    assert search.hosts_to_query() == HOSTS[:4]
     for host in HOSTS[:4]:
-        search.asked(host)
-    assert not search.hosts_to_ask()
+        search.note_query(host)
+    assert not search.hosts_to_query()
     assert not search.hosts_for_relays(0.001)
     for host in HOSTS[:3]:
         search.note_denial(host)
@@ -69,8 +69,8 @@
     queries = 0
     for tick in range(100):
         now = tick * 0.05
-        for host in search.hosts_to_ask():
-            search.asked(host)
+        for host in search.hosts_to_query():
+            search.note_query(host)
             queries += 1
         if search.hosts_for_relays(now):
             search.relayed(now)
