--- a/packages/teaseldock/teaseldock/packets/agent.py
+++ b/packages/teaseldock/teaseldock/packets/agent.py
@@ -99,7 +99,7 @@
     @property
     def has_no_requests(self) -> bool:
         """Return whether every request has been answered."""
-        return not self._tracker.pending_requests
+        return not self._tracker.asked
 
     @property
     def own_target(self) -> records.Target | None:
--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -86,7 +86,7 @@
             self._meters.counters['questions_delayed'] += 1
             return
         for host in search.hosts_to_query():
-            search.note_query(host)
+            search.asked(host)
             self._send(host, control.pack(control.KIND_LOCATE, 0, 0, flow))
         if not search.hosts_for_relays(now):
             return
--- a/packages/teaseldock/teaseldock/packets/searching.py
+++ b/packages/teaseldock/teaseldock/packets/searching.py
@@ -142,7 +142,7 @@
             if host not in self._asked and host not in self._denied
         ]
 
-    def note_query(self, host: str) -> None:
+    def asked(self, host: str) -> None:
         """Record that the balancer has queried a host."""
         self._asked.add(host)
 
--- a/packages/teaseldock/teaseldock/packets/tracking.py
+++ b/packages/teaseldock/teaseldock/packets/tracking.py
@@ -132,7 +132,7 @@
         return self._addresses
 
     @property
-    def pending_requests(self) -> int:
+    def asked(self) -> int:
         """Return the number of flows with an unanswered request."""
         return self._pending_requests
 
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -335,4 +335,4 @@
     for host in world.servers:
         agent = world.processes[host].node
         assert agent.queue.running == 0
-        assert agent.tracker.pending_requests == 0
+        assert agent.tracker.asked == 0
--- a/tests/packets/test_same_identifier.py
+++ b/tests/packets/test_same_identifier.py
@@ -42,7 +42,7 @@
     world.run(0.3)
     assert world.events('server restarted')
     assert not agent.queue.waiting and not agent.queue.running
-    assert not agent.tracker.pending_requests
+    assert not agent.tracker.asked
     assert not any(agent.tracker.holds(feed.flow) for feed in feeds)
 
 
--- a/tests/packets/test_searching.py
+++ b/tests/packets/test_searching.py
@@ -35,7 +35,7 @@
     search = searching.Search(HOSTS, 0.0)
     assert search.hosts_to_query() == HOSTS[:4]
     for host in HOSTS[:4]:
-        search.note_query(host)
+        search.asked(host)
     assert not search.hosts_to_query()
     assert not search.hosts_for_relays(0.001)
     for host in HOSTS[:3]:
@@ -70,7 +70,7 @@
     for tick in range(100):
         now = tick * 0.05
         for host in search.hosts_to_query():
-            search.note_query(host)
+            search.asked(host)
             queries += 1
         if search.hosts_for_relays(now):
             search.relayed(now)
--- a/tests/packets/test_tracking.py
+++ b/tests/packets/test_tracking.py
@@ -47,7 +47,7 @@
     tracker.from_caller(make_packet(length=90, sequence=1), 1.0)
     tracker.from_server(make_packet(length=500), 1.1)
     assert tracker.from_caller(make_packet(length=90, sequence=1), 1.2) is None
-    assert tracker.pending_requests == 0
+    assert tracker.asked == 0
     assert (
         tracker.from_caller(make_packet(length=90, sequence=91), 2.0)
         is not None
@@ -116,12 +116,12 @@
     assert tracker.from_server(answer, 1.1) is not None
     tracker.from_caller(make_packet(length=90, sequence=91), 1.2)
     assert tracker.from_server(answer, 1.3) is None
-    assert tracker.pending_requests == 1
+    assert tracker.asked == 1
     assert (
         tracker.from_server(make_packet(length=9, sequence=1500), 1.4)
         is not None
     )
-    assert tracker.pending_requests == 0
+    assert tracker.asked == 0
 
 
 def test_a_caller_shows_whose_acceptance_it_took() -> None:
