--- a/packages/teaseldock/teaseldock/packets/locating.py
+++ b/packages/teaseldock/teaseldock/packets/locating.py
@@ -85,7 +85,7 @@
         if not self._budget.allows(control_budget.Purpose.SEARCH, now):
             self._meters.counters['questions_delayed'] += 1
             return
-        for host in search.hosts_to_ask():
+        for host in search.hosts_to_query():
             search.asked(host)
             self._send(host, control.pack(control.KIND_LOCATE, 0, 0, flow))
         if not search.hosts_for_relays(now):
--- a/packages/teaseldock/teaseldock/packets/searching.py
+++ b/packages/teaseldock/teaseldock/packets/searching.py
@@ -134,7 +134,7 @@
         """Replace the hosts that may hold the flow."""
         self._hosts = hosts
 
-    def hosts_to_ask(self) -> list[str]:
+    def hosts_to_query(self) -> list[str]:
         """Return the hosts that the balancer has yet to query itself."""
         return [
             host
